--- a/cli/src/check.rs
+++ b/cli/src/check.rs
@@ -111,7 +111,7 @@
         "{}: a node's configuration: {} classes, {} zones, {} nodes",
         file.display(),
         site.settings.classes.len(),
-        site.settings.zones,
-        site.settings.nodes
+        site.settings.zone_count,
+        site.settings.node_count
     ))
 }
--- a/model/src/shard/driver.rs
+++ b/model/src/shard/driver.rs
@@ -23,8 +23,8 @@
         let arrival = Arrival {
             request: RequestId(id),
             class: ClassId(ask.class as u32),
-            hint: None,
-            repeat: false,
+            cost_hint: None,
+            is_retry: false,
             tenant: ask.tenant.map(|tenant| tenant as u32),
             not_after: open.not_after,
         };
@@ -68,7 +68,9 @@
                         self.send_by(request.0, send_by);
                     }
                 }
-                Action::Refuse { request, pause } => self.finish(request.0, Answer::Refused, pause),
+                Action::Reject { request, retry_after: pause } => {
+                    self.finish(request.0, Answer::Refused, pause)
+                }
                 Action::Fail { request } => self.finish(request.0, Answer::Failed, 0),
                 Action::Cancel { request, attempt } => {
                     self.settle(request.0, attempt as usize, Outcome::Cancelled, None);
@@ -309,15 +311,15 @@
             self.finish(id, Answer::Served, 0);
         }
         let ended = self.tries.get(id).is_none_or(|open| open.ended);
-        let settlement = Settlement {
+        let settlement = AttemptResult {
             request: RequestId(id),
             attempt: attempt as u32,
             outcome,
             elapsed: now.saturating_sub(sent),
-            ended,
-            report: Report { util, ..Report::default() },
+            request_ended: ended,
+            report: LoadReport { util, ..LoadReport::default() },
         };
-        self.tell(node, Event::Settled(settlement));
+        self.tell(node, Event::AttemptEnded(settlement));
         self.drop_if_done(id);
     }
 
@@ -359,7 +361,7 @@
         if !ended {
             self.tries.get_mut(id).into_iter().for_each(|open| open.ended = true);
             if self.nodes[node as usize].up && self.nodes[node as usize].life == life {
-                self.tell(node, Event::ClientGone { request: RequestId(id) });
+                self.tell(node, Event::ClientDisconnected { request: RequestId(id) });
             }
         }
         self.drop_if_done(id);
--- a/model/src/shard/mod.rs
+++ b/model/src/shard/mod.rs
@@ -14,8 +14,8 @@
 use std::sync::Arc;
 
 use brookfield::{
-    Action, Arrival, BackendId, ClassId, Event, ListScope, Member, Nanos, Outcome, Report, RequestId,
-    Settlement, Stage,
+    Action, Arrival, AttemptResult, BackendId, ClassId, Event, ListScope, LoadReport, Member, Nanos, Outcome,
+    RequestId, Stage,
 };
 use rand::RngExt;
 use rand_chacha::ChaCha12Rng;
@@ -409,7 +409,7 @@
             What::Ordered { node, life } => {
                 if self.awake(node, life, || What::Ordered { node, life }) {
                     let orders = self.common.timeline.orders(self.now);
-                    self.tell(node, Event::Zones(orders));
+                    self.tell(node, Event::ZoneOverrides(orders));
                 }
             }
             What::Offered(sent) => self.offered(sent),
--- a/model/src/shard/processes.rs
+++ b/model/src/shard/processes.rs
@@ -25,15 +25,15 @@
         self.tell(node, Event::Start);
         let orders = common.timeline.orders(self.now);
         if !orders.is_empty() {
-            self.tell(node, Event::Zones(orders));
+            self.tell(node, Event::ZoneOverrides(orders));
         }
         // It comes with the list as it was when it was last told, and gets what is new when its next word is due.
         let (members, cursor, drains) = self.list_at(self.now.saturating_sub(SECOND));
         let known = &mut self.nodes[node as usize];
         (known.cursor, known.drains) = (cursor, drains);
         known.starts = members.iter().filter_map(start_of).collect();
-        self.tell(node, Event::Fleet { scope: ListScope::Cached, members: members.clone() });
-        self.tell(node, Event::Fleet { scope: ListScope::Full, members });
+        self.tell(node, Event::BackendList { scope: ListScope::Cached, members: members.clone() });
+        self.tell(node, Event::BackendList { scope: ListScope::Full, members });
         self.next_word(node);
     }
 
@@ -88,7 +88,7 @@
             }
         }
         if !members.is_empty() {
-            self.tell(node, Event::Fleet { scope: ListScope::Changes, members });
+            self.tell(node, Event::BackendList { scope: ListScope::Changes, members });
         }
         self.next_word(node);
     }
--- a/model/src/timeline.rs
+++ b/model/src/timeline.rs
@@ -1,7 +1,7 @@
 //! What a world's troubles mean over time for everybody: which processes there will be, what the list will say and
 //! when, and what the links do. All of it is known before a run starts, so that every zone can look it up.
 
-use brookfield::{BackendId, Member, Nanos, Stage, ZoneId, ZoneOrder};
+use brookfield::{BackendId, Member, Nanos, Stage, ZoneId, ZoneOverride};
 
 use crate::world::{Act, LinkTrouble, Party, SECOND, Step, World};
 
@@ -90,7 +90,7 @@
                 kind: info.spec.kind,
                 cell: info.spec.cell,
                 stage,
-                size: info.size,
+                weight: info.size,
                 online_since: since,
             }
         };
@@ -181,14 +181,14 @@
     }
 
     /// What is ordered of each zone that any order names at all, now.
-    pub fn orders(&self, now: Nanos) -> Vec<ZoneOrder> {
-        let mut orders: Vec<ZoneOrder> = Vec::new();
+    pub fn orders(&self, now: Nanos) -> Vec<ZoneOverride> {
+        let mut orders: Vec<ZoneOverride> = Vec::new();
         for step in &self.steps {
             let Act::OrderZone(zone, share) = step.act else { continue };
             let share = if step.is_on(now) { share } else { 1.0 };
             match orders.iter_mut().find(|order| order.zone == ZoneId(zone)) {
-                Some(order) => order.share = order.share.min(share),
-                None => orders.push(ZoneOrder { zone: ZoneId(zone), region: 0, share }),
+                Some(order) => order.traffic_share = order.traffic_share.min(share),
+                None => orders.push(ZoneOverride { zone: ZoneId(zone), region: 0, traffic_share: share }),
             }
         }
         orders
--- a/model/tests/wayward.rs
+++ b/model/tests/wayward.rs
@@ -28,7 +28,7 @@
     }
 
     fn handle(&mut self, node: usize, now: Nanos, event: Event, actions: &mut Vec<(usize, Action)>) {
-        if let Event::Fleet { members, .. } = &event {
+        if let Event::BackendList { members, .. } = &event {
             let of =
                 |fits: fn(&Member) -> bool| members.iter().find(|member| fits(member)).map(|one| one.backend);
             let cold = |member: &Member| member.stage == Stage::InService && member.online_since.is_some();
--- a/node/src/driver/backends.rs
+++ b/node/src/driver/backends.rs
@@ -149,7 +149,7 @@
             kind: words.kind(&listed.kind),
             cell: listed.cell,
             stage: listed.stage,
-            size: listed.size,
+            weight: listed.size,
             online_since,
         })
     }
--- a/node/src/driver/exchange.rs
+++ b/node/src/driver/exchange.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use brookfield::{BackendId, Nanos, Outcome, Report, RequestId, Stage};
+use brookfield::{BackendId, LoadReport, Nanos, Outcome, RequestId, Stage};
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, Uri};
 use tokio::sync::oneshot;
@@ -76,7 +76,7 @@
     /// What happened.
     pub outcome: Outcome,
     /// The load report that came along.
-    pub report: Report,
+    pub report: LoadReport,
     /// The answer's body, of one that served.
     pub body: Bytes,
 }
@@ -84,7 +84,7 @@
 impl Ending {
     /// An end with nothing received.
     pub fn bare(outcome: Outcome) -> Self {
-        Self { outcome, report: Report::default(), body: Bytes::new() }
+        Self { outcome, report: LoadReport::default(), body: Bytes::new() }
     }
 }
 
--- a/node/src/driver/mod.rs
+++ b/node/src/driver/mod.rs
@@ -18,8 +18,9 @@
 use std::time::Duration;
 
 use brookfield::{
-    Action, Arrival, BackendId, Balancer, ClassId, Discovery, Effect, Event, ListScope, Nanos, Note, Outcome,
-    RequestId, Settings, SettingsError, Settlement, SlowStartDecision, ZoneId, ZoneOrder,
+    Action, Arrival, AttemptResult, BackendId, Balancer, ClassId, DiscoveryMode, Event, Idempotency,
+    ListScope, LogEvent, Nanos, Outcome, RequestId, Settings, SettingsError, SlowStartDecision, ZoneId,
+    ZoneOverride,
 };
 use brookfield_settings::Words;
 pub use flaxdale_fleet::clock::Clock;
@@ -120,17 +121,17 @@
     }
 
     /// A class's number, time limit and effect, or none where the settings do not list it.
-    pub fn class(&self, name: &str) -> Option<(u32, Nanos, Effect)> {
+    pub fn class(&self, name: &str) -> Option<(u32, Nanos, Idempotency)> {
         let driver = self.driver.borrow();
         let class = driver.words.class(name)?;
         let settings = driver.settings.classes.get(class as usize)?;
-        Some((class, settings.deadline, settings.effect))
+        Some((class, settings.deadline, settings.idempotency))
     }
 
     /// A tenant's number. `Err` for a name that the settings of a site with tenants do not list.
     pub fn tenant(&self, name: Option<&str>) -> Result<Option<u32>, UnknownTenant> {
         let driver = self.driver.borrow();
-        if driver.settings.tenants.is_empty() {
+        if driver.settings.tenant_quotas.is_empty() {
             return Ok(None);
         }
         driver.words.tenant(name).map(Some).ok_or(UnknownTenant)
@@ -144,7 +145,7 @@
 
     /// Whether the site's discovery has to be asked.
     pub fn asks_discovery(&self) -> bool {
-        self.driver.borrow().settings.discovery == Discovery::Asked
+        self.driver.borrow().settings.discovery == DiscoveryMode::OnRequest
     }
 
     /// Takes a request; the answer comes through what is returned. Dropping that first means that the client
@@ -201,7 +202,7 @@
     /// met by this call: kept, it would have the next call made at once, by all nodes that started together.
     pub fn fleet_failed(&self) {
         std::pin::pin!(self.asked.notified()).enable();
-        self.tell(|driver, errands| driver.hear(Event::FleetFailed, errands));
+        self.tell(|driver, errands| driver.hear(Event::DiscoveryFailed, errands));
     }
 
     /// Notes how the list stands.
@@ -302,7 +303,7 @@
             Action::Send { request, backend, timeout, send_by } => {
                 self.send(request, backend, (timeout, send_by), errands);
             }
-            Action::Refuse { request, pause } => self.finish(request, Reply::Refused(pause)),
+            Action::Reject { request, retry_after: pause } => self.finish(request, Reply::Refused(pause)),
             Action::Fail { request } => self.finish(request, Reply::Failed),
             Action::Cancel { request, attempt } => self.requests.withdraw(request, attempt),
             // The settings may allow probes, but they cost the servers work and the module asks for none.
@@ -322,24 +323,24 @@
     }
 
     /// The module's notes, with the names that people know.
-    fn log(&self, note: Note) {
+    fn log(&self, note: LogEvent) {
         match note {
-            Note::Spill { home, spilling, best } => {
+            LogEvent::Spillover { home, spilling, best } => {
                 let (zone, best) = (self.words.zone_name(home), self.words.zone_name(best));
                 tracing::info!(zone, spilling, best, "home zone crossed the threshold");
             }
-            Note::Ejected { backend, span, cause } => {
+            LogEvent::Ejected { backend, duration: span, cause } => {
                 let backend = self.backends.uid(backend);
                 tracing::info!(backend, cause = ?cause, span_ms = span / 1_000_000, "backend ejected");
             }
-            Note::SlowStart(decision) => self.log_slow_start(decision),
-            Note::Warm { backend } => {
+            LogEvent::SlowStart(decision) => self.log_slow_start(decision),
+            LogEvent::WarmedUp { backend } => {
                 tracing::info!(backend = self.backends.uid(backend), "backend warm");
             }
-            Note::Share { zone, percent } => {
+            LogEvent::ShareReached { zone, percent } => {
                 tracing::info!(zone = self.words.zone_name(zone), percent, "the zone has its ordered share");
             }
-            Note::Readmitted { backend } => {
+            LogEvent::Readmitted { backend } => {
                 tracing::info!(backend = self.backends.uid(backend), "backend readmitted");
             }
         }
@@ -356,16 +357,16 @@
                     branch = ?decision.branch,
                     age_ms = decision.age / MILLISECOND,
                     ramp_percent = (100.0 * decision.ramp).round(),
-                    estimate = rounded(decision.estimate),
-                    measured = rounded(decision.measured),
-                    least = rounded(decision.least),
-                    chance = rounded(decision.chance),
+                    estimate = rounded(decision.capacity_estimate),
+                    measured = rounded(decision.measured_rate),
+                    least = rounded(decision.min_budget),
+                    chance = rounded(decision.variance_allowance),
                     slow_percent = (100.0 * decision.slowness).round(),
-                    proven_percent = (100.0 * decision.proven).round(),
+                    proven_percent = (100.0 * decision.speed_factor).round(),
                     budget = rounded(decision.budget),
                     spent = rounded(decision.spent),
                     cost = rounded(decision.cost),
-                    refusals = decision.refusals,
+                    refusals = decision.denials,
                     "slow start"
                 )
             };
@@ -392,7 +393,7 @@
         if self.requests.waits(request) {
             tracing::warn!(request = self.requests.call_id(request), "a request had no answer at its end");
             self.finish(request, Reply::Failed);
-            self.hear(Event::ClientGone { request }, errands);
+            self.hear(Event::ClientDisconnected { request }, errands);
             self.requests.forget_if_done(request);
         }
     }
@@ -406,8 +407,8 @@
         let arrival = Arrival {
             request,
             class: ClassId(class),
-            hint: asked.hint,
-            repeat: asked.repeat,
+            cost_hint: asked.hint,
+            is_retry: asked.repeat,
             tenant: asked.tenant,
             not_after,
         };
@@ -475,22 +476,22 @@
             self.finish(request, Reply::Served(ending.body));
         }
         let ended = !self.requests.waits(request);
-        let settlement = Settlement { request, attempt, outcome, elapsed, ended, report };
-        self.hear(Event::Settled(settlement), errands);
+        let settlement = AttemptResult { request, attempt, outcome, elapsed, request_ended: ended, report };
+        self.hear(Event::AttemptEnded(settlement), errands);
         self.requests.forget_if_done(request);
     }
 
     fn client_gone(&mut self, request: RequestId, errands: &mut Errands) {
         if self.requests.waits(request) {
             self.finish(request, Reply::Failed);
-            self.hear(Event::ClientGone { request }, errands);
+            self.hear(Event::ClientDisconnected { request }, errands);
         }
         self.requests.forget_if_done(request);
     }
 
     fn order(&mut self, fleet: &Fleet, errands: &mut Errands) -> Result<(), String> {
         let known: Vec<&str> =
-            (0..self.settings.zones).map(|zone| self.words.zone_name(ZoneId(zone))).collect();
+            (0..self.settings.zone_count).map(|zone| self.words.zone_name(ZoneId(zone))).collect();
         let mut regions: Vec<&str> = vec![""];
         let mut orders = Vec::new();
         for (name, zone) in &fleet.zones {
@@ -502,16 +503,20 @@
             if region == regions.len() {
                 regions.push(&zone.region);
             }
-            orders.push(ZoneOrder { zone: ZoneId(number as u32), region: region as u32, share: zone.share });
+            orders.push(ZoneOverride {
+                zone: ZoneId(number as u32),
+                region: region as u32,
+                traffic_share: zone.share,
+            });
         }
-        if orders.len() == known.len() && orders.iter().all(|order| order.share <= 0.0) {
+        if orders.len() == known.len() && orders.iter().all(|order| order.traffic_share <= 0.0) {
             return Err("zones: no zone may be given anything".to_owned());
         }
         for (name, zone) in &fleet.zones {
             let (region, share) = (&zone.region, zone.share);
             tracing::info!(zone = name, region, share, "ordered");
         }
-        self.hear(Event::Zones(orders), errands);
+        self.hear(Event::ZoneOverrides(orders), errands);
         Ok(())
     }
 
@@ -520,7 +525,7 @@
         tracing::debug!(scope = ?scope, count = list.len(), "list taken");
         let changed = self.backends.take(scope, list, now, &mut self.words);
         errands.retired.extend(changed.retired);
-        self.hear(Event::Fleet { scope, members: changed.members }, errands);
+        self.hear(Event::BackendList { scope, members: changed.members }, errands);
         errands.retired.extend(self.backends.drop_left(changed.left, now));
     }
 }
--- a/node/src/server/call.rs
+++ b/node/src/server/call.rs
@@ -2,7 +2,7 @@
 
 use std::convert::Infallible;
 
-use brookfield::{Effect, Nanos};
+use brookfield::{Idempotency, Nanos};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::Incoming;
@@ -135,7 +135,7 @@
     let hint = single(headers, COST)?.map(|text| whole(COST, text)).transpose()?;
     let repeat = single(headers, AGAIN)? == Some("1");
     let body = read(body, whole_by).await?;
-    if effect == Effect::Repeatable && !body.is_empty() {
+    if effect == Idempotency::Idempotent && !body.is_empty() {
         return Err(BadCall::Misplaced("a body"));
     }
     // The first read of a connection does not tell whether its end is there already: what has come by now is heard
@@ -183,14 +183,14 @@
 }
 
 /// The method and the key follow from the class.
-fn check_form(method: &Method, headers: &HeaderMap, effect: Effect) -> Result<(), BadCall> {
-    let wanted = if effect == Effect::Repeatable { Method::GET } else { Method::POST };
+fn check_form(method: &Method, headers: &HeaderMap, effect: Idempotency) -> Result<(), BadCall> {
+    let wanted = if effect == Idempotency::Idempotent { Method::GET } else { Method::POST };
     if *method != wanted {
         return Err(BadCall::Method(wanted));
     }
     match (effect, single(headers, KEY)?) {
-        (Effect::Keyed { .. }, None | Some("")) => Err(BadCall::Missing(KEY)),
-        (Effect::Keyed { .. }, Some(_)) | (_, None) => Ok(()),
+        (Idempotency::Keyed { .. }, None | Some("")) => Err(BadCall::Missing(KEY)),
+        (Idempotency::Keyed { .. }, Some(_)) | (_, None) => Ok(()),
         (_, Some(_)) => Err(BadCall::Misplaced(KEY)),
     }
 }
--- a/node/src/upstream.rs
+++ b/node/src/upstream.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use brookfield::{BackendId, Nanos, Outcome, Report};
+use brookfield::{BackendId, LoadReport, Nanos, Outcome};
 use brookfield_settings::Links;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -376,10 +376,10 @@
 }
 
 /// Reads the load report that an answer carries. One that can't be read says nothing, and harms nothing.
-fn load_report(headers: &HeaderMap) -> Report {
+fn load_report(headers: &HeaderMap) -> LoadReport {
     let text = headers.get("x-load-report").map(HeaderValue::as_bytes).unwrap_or_default();
     let figures: Figures = serde_json::from_slice(text).unwrap_or_default();
-    Report { util: figures.util, rate: figures.qps, in_flight: figures.inflight }
+    LoadReport { util: figures.util, rate: figures.qps, in_flight: figures.inflight }
 }
 
 #[cfg(test)]
--- a/rig/src/agents.rs
+++ b/rig/src/agents.rs
@@ -63,7 +63,7 @@
     let place = member.backend.0 as usize;
     json!({"uid": uid(member.backend.0), "endpoint": endpoints[place].to_string(),
         "az": world.zones[member.zone.0 as usize], "model": world.kinds[member.kind as usize],
-        "pod_group": member.cell, "state": state_of(member.stage), "capacity_hint": member.size,
+        "pod_group": member.cell, "state": state_of(member.stage), "capacity_hint": member.weight,
         "boot_ms": member.online_since.unwrap_or(0) / 1_000_000})
 }
 
--- a/rig/src/orders.rs
+++ b/rig/src/orders.rs
@@ -39,8 +39,8 @@
     /// Writes it with what is ordered at this time.
     pub fn write(&self, now: Nanos) -> std::io::Result<()> {
         let zones = &self.shared.world.zones;
-        let named = |order: &brookfield::ZoneOrder| {
-            (zones[order.zone.0 as usize].clone(), Zone { share: order.share, ..Zone::default() })
+        let named = |order: &brookfield::ZoneOverride| {
+            (zones[order.zone.0 as usize].clone(), Zone { share: order.traffic_share, ..Zone::default() })
         };
         let zones: BTreeMap<String, Zone> = self.shared.timeline().orders(now).iter().map(named).collect();
         let registry = (!self.addresses.is_empty()).then(|| Registry { addresses: self.addresses.clone() });
--- a/rig/src/wire.rs
+++ b/rig/src/wire.rs
@@ -5,7 +5,9 @@
 use std::io::{BufRead, BufReader, Read, Write};
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
 
-use brookfield::{Action, BackendId, Event, ListScope, Member, Nanos, Outcome, RequestId, Settlement, Stage};
+use brookfield::{
+    Action, AttemptResult, BackendId, Event, ListScope, Member, Nanos, Outcome, RequestId, Stage,
+};
 use flaxdale_model::module::Module;
 use flaxdale_model::world::World;
 use serde_json::{Value, json};
@@ -92,7 +94,7 @@
             };
             json!({"backend": format!("b_{}", member.backend.0), "hall": self.zones[member.zone.0 as usize],
                 "type": self.kinds[member.kind as usize], "pod": member.cell, "stage-state": stage,
-                "power-hint": member.size, "online-since-ns": member.online_since})
+                "power-hint": member.weight, "online-since-ns": member.online_since})
         };
         let entries: Vec<Value> = members.iter().map(entry).collect();
         let list = self.next_list;
@@ -101,11 +103,11 @@
         list
     }
 
-    fn settled(&mut self, who: usize, settled: &Settlement) {
+    fn settled(&mut self, who: usize, settled: &AttemptResult) {
         let usage = settled.report.util.map(|util| json!({"load_share": util, "util": util}));
         let fields = json!({"who": who, "request-id": request_name(settled.request), "try": settled.attempt,
             "backend": Value::Null, "disposition": code(settled.outcome), "elapsed-ns": settled.elapsed,
-            "no-more": settled.ended, "usage": usage});
+            "no-more": settled.request_ended, "usage": usage});
         line(&mut self.batch, "SETTLED", fields);
     }
 
@@ -135,7 +137,7 @@
                     timeout: Some(whole("max-wait-ns")).filter(|wait| *wait > 0),
                     send_by: None,
                 },
-                "DECLINE" => Action::Refuse { request: request()?, pause: whole("pause-ns") },
+                "DECLINE" => Action::Reject { request: request()?, retry_after: whole("pause-ns") },
                 "END_FAILED" => Action::Fail { request: request()? },
                 "RECALL" => Action::Cancel { request: request()?, attempt: whole("try") as u32 },
                 "DEFER" => Action::Timer { after: whole("from-now-ns"), token: whole("name") },
@@ -165,8 +167,8 @@
     fn handle(&mut self, node: usize, _: Nanos, event: Event, _: &mut Vec<(usize, Action)>) {
         match event {
             // An instance that was opened has started; the wire knows neither probes nor an operator's orders.
-            Event::Start | Event::Probed { .. } | Event::Zones(_) => {}
-            Event::Fleet { scope, members } => {
+            Event::Start | Event::ProbeEnded { .. } | Event::ZoneOverrides(_) => {}
+            Event::BackendList { scope, members } => {
                 let list = self.list(&members);
                 let mode = match scope {
                     ListScope::Changes => "delta",
@@ -177,7 +179,7 @@
                 let fields = json!({"who": node, "mode": mode, "seq-no": self.version, "list": list});
                 line(&mut self.batch, "FLEET", fields);
             }
-            Event::FleetFailed => {
+            Event::DiscoveryFailed => {
                 let fields = json!({"who": node, "mode": "failed", "seq-no": self.version, "list": 0});
                 line(&mut self.batch, "FLEET", fields);
             }
@@ -188,11 +190,11 @@
                     "not-after-ns": arrival.not_after});
                 line(&mut self.batch, "INCOMING", fields);
             }
-            Event::Settled(settled) => self.settled(node, &settled),
-            Event::Started { request } => {
+            Event::AttemptEnded(settled) => self.settled(node, &settled),
+            Event::ResponseStarted { request } => {
                 line(&mut self.batch, "ACK_FIRST", json!({"who": node, "request-id": request_name(request)}));
             }
-            Event::ClientGone { request } => {
+            Event::ClientDisconnected { request } => {
                 line(&mut self.batch, "LEFT", json!({"who": node, "request-id": request_name(request)}));
             }
             Event::Timer { token } => line(&mut self.batch, "WAKEUP", json!({"who": node, "name": token})),
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -8,7 +8,8 @@
 use std::collections::HashMap;
 
 use brookfield::{
-    ClassSettings, Discovery, Effect, Group, Limits, Nanos, RuleFigures, Settings, Weights, ZoneId,
+    ClassSettings, DedupGroup, DiscoveryMode, Idempotency, Limits, Nanos, RuleParameters, Settings,
+    WeightKind, ZoneId,
 };
 use serde_json::Value;
 
@@ -67,25 +68,25 @@
     let map = value.as_object().ok_or("settings: classes: not objects")?;
     let fields = Fields { tag: "settings: classes", map };
     let effect = match fields.text("effect")? {
-        "repeatable" => Effect::Repeatable,
-        "once" => Effect::Once,
+        "repeatable" => Idempotency::Idempotent,
+        "once" => Idempotency::NonIdempotent,
         "by_key" => {
             let group = match fields.text("key-scope")? {
-                "all" => Group::All,
-                "zone" => Group::Zone,
-                "cell" => Group::Cell,
+                "all" => DedupGroup::All,
+                "zone" => DedupGroup::Zone,
+                "cell" => DedupGroup::Cell,
                 _ => return Err(fields.wrong("key-scope")),
             };
-            Effect::Keyed { group, window: fields.whole("window-ns")? }
+            Idempotency::Keyed { group, window: fields.whole("window-ns")? }
         }
         _ => return Err(fields.wrong("effect")),
     };
     let settings = ClassSettings {
-        aim: fields.whole("on-time-ns")?,
+        latency_target: fields.whole("on-time-ns")?,
         deadline: fields.whole("deadline-ns")?,
-        worth: fields.number_or("importance", 1.0)?,
-        late_share: fields.number_or("late-share", 0.0)?,
-        effect,
+        value: fields.number_or("importance", 1.0)?,
+        late_value_share: fields.number_or("late-share", 0.0)?,
+        idempotency: effect,
     };
     Ok((fields.text("name")?.to_owned(), settings))
 }
@@ -131,45 +132,45 @@
     let goal = fields.object("goal")?;
     let flag = |name: &str| limits.map.get(name).and_then(Value::as_bool).unwrap_or(false);
     let settings = Settings {
-        home: ZoneId(home as u32),
-        zones: zones.len() as u32,
-        nodes: u32::try_from(fields.whole_or("n-instances", 1)?).unwrap_or(u32::MAX),
+        home_zone: ZoneId(home as u32),
+        zone_count: zones.len() as u32,
+        node_count: u32::try_from(fields.whole_or("n-instances", 1)?).unwrap_or(u32::MAX),
         classes,
-        tenants,
-        over_share_worth: fields.number_or("over-share-worth", 1.0)?,
+        tenant_quotas: tenants,
+        over_quota_value: fields.number_or("over-share-worth", 1.0)?,
         discovery: match fields.text("discovery")? {
-            "pushed" => Discovery::Pushed,
-            "on_request" => Discovery::Asked,
+            "pushed" => DiscoveryMode::Push,
+            "on_request" => DiscoveryMode::OnRequest,
             _ => return Err(fields.wrong("discovery")),
         },
-        weights: match map.get("weights").and_then(Value::as_str) {
-            Some("live") => Weights::Live,
-            _ => Weights::Size,
+        weight_kind: match map.get("weights").and_then(Value::as_str) {
+            Some("live") => WeightKind::Live,
+            _ => WeightKind::Static,
         },
         limits: Limits {
-            attempts: u32::try_from(limits.whole("attempts-cap")?).unwrap_or(u32::MAX),
-            second_copies: flag("second-copies"),
+            max_attempts: u32::try_from(limits.whole("attempts-cap")?).unwrap_or(u32::MAX),
+            concurrent_attempts: flag("second-copies"),
             probes: flag("probes"),
             cancel: flag("may-cancel"),
             // Advice is given even where the site says that no client heeds it: it costs nothing, and some do.
-            retry_after: limits.whole_or("max-retry-after-ns", 0)?,
+            max_retry_after: limits.whole_or("max-retry-after-ns", 0)?,
         },
-        rules: RuleFigures {
+        rules: RuleParameters {
             answer_slack: rules.whole("answer-slack-ns")?,
-            ask_within: rules.whole_or("ask-within-ns", u64::MAX)?,
+            max_poll_interval: rules.whole_or("ask-within-ns", u64::MAX)?,
             drain_grace: rules.whole("drain-grace-ns")?,
-            start_capacity: rules.number("start-capacity")?,
-            warm_after: rules.whole("warm-after-ns")?,
-            tip_multiple: rules.number("tip-multiple")?,
-            fall_span: rules.whole("fall-ns")?,
+            initial_capacity: rules.number("start-capacity")?,
+            slow_start_window: rules.whole("warm-after-ns")?,
+            overload_factor: rules.number("tip-multiple")?,
+            overload_window: rules.whole("fall-ns")?,
         },
-        worst_class_goal: goal.number_or("worst-class", 0.0)?,
-        repeats_marked: map
+        worst_class_weight: goal.number_or("worst-class", 0.0)?,
+        retries_marked: map
             .get("callers")
             .and_then(|callers| callers.get("marks-retry"))
             .and_then(Value::as_bool)
             .unwrap_or(false),
-        worth_by_work: map.get("worth-by").and_then(Value::as_str) == Some("work"),
+        value_per_work: map.get("worth-by").and_then(Value::as_str) == Some("work"),
         quantum: fields.whole_or("quantum-ns", 1_000_000)?,
     };
     let classes = class_names.into_iter().zip(0..).collect();
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -15,18 +15,19 @@
 impl Balancer {
     /// Part of a tenant's requests that is beyond this node's part of its share.
     pub(crate) fn over_share(&self, tenant: usize) -> f64 {
-        let (Some(asked), Some(quota)) = (self.tenants.get(tenant), self.settings.tenants.get(tenant)) else {
+        let (Some(asked), Some(quota)) = (self.tenants.get(tenant), self.settings.tenant_quotas.get(tenant))
+        else {
             return 0.0;
         };
-        let part = quota / f64::from(self.settings.nodes) / asked.now(self.now).max(1e-9);
+        let part = quota / f64::from(self.settings.node_count) / asked.now(self.now).max(1e-9);
         // A node sees few requests of a tenant: half as many again may be chance.
-        if self.settings.over_share_worth < 1.0 { (1.0 - 1.5 * part).max(0.0) } else { 0.0 }
+        if self.settings.over_quota_value < 1.0 { (1.0 - 1.5 * part).max(0.0) } else { 0.0 }
     }
 
     /// Spreads what the list's figures leave room for over the classes, the worthiest for its work first.
     pub(crate) fn admit(&mut self) {
         let asked = self.asked();
-        let taken = self.zones[self.settings.home.0 as usize].taken;
+        let taken = self.zones[self.settings.home_zone.0 as usize].taken;
         // A tenant that floods is turned away first, down to this node's part of its share.
         let over: f64 =
             (0..self.tenants.len()).map(|t| self.over_share(t) * self.tenants[t].now(self.now)).sum();
@@ -101,23 +102,23 @@
 
     /// What a unit of each class's work adds to the goal: worth, and more for the worst-served class.
     pub(crate) fn value_classes(&mut self) {
-        let goal = self.settings.worst_class_goal.min(1.0);
+        let goal = self.settings.worst_class_weight.min(1.0);
         let rates: Vec<(f64, f64)> =
             self.classes.iter().map(|c| (c.asked.now(self.now), c.served.now(self.now))).collect();
-        let worth: f64 = rates.iter().zip(&self.settings.classes).map(|(r, c)| r.0 * c.worth).sum();
+        let total_value: f64 = rates.iter().zip(&self.settings.classes).map(|(r, c)| r.0 * c.value).sum();
         let part = |(asked, served): (f64, f64)| if asked > 0.0 { served / asked } else { 1.0 };
         let worst = rates.iter().map(|&rate| part(rate)).fold(1.0, f64::min);
         for ((view, class), &rate) in self.classes.iter_mut().zip(&self.settings.classes).zip(&rates) {
-            let mut value = (1.0 - goal) * class.worth / worth.max(1e-9);
+            let mut value = (1.0 - goal) * class.value / total_value.max(1e-9);
             if part(rate) <= worst {
                 value += goal / rate.0.max(1e-9);
             }
-            view.value = if self.settings.worth_by_work { value } else { value / view.base.max(1.0) };
+            view.value = if self.settings.value_per_work { value } else { value / view.base.max(1.0) };
         }
         // A worthy class with a tight aim would find all room taken by lesser ones with a wide aim.
         let mut room = f64::INFINITY;
         for class in self.by_value().into_iter().filter(|&class| rates[class].0 > 0.1) {
-            let aim = self.settings.classes[class].aim as f64;
+            let aim = self.settings.classes[class].latency_target as f64;
             let view = &mut self.classes[class];
             room = (room * PRECEDENCE).min(ADMIT * aim / view.base.max(1.0));
             view.room = room;
--- a/src/api.rs
+++ b/src/api.rs
@@ -22,7 +22,7 @@
 
 /// Which backends drop a repeat of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupGroup {
     /// Every backend.
     All,
     /// The backends of one zone.
@@ -33,61 +33,61 @@
 
 /// Whether a request of a class may take effect twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Safe to repeat.
-    Repeatable,
+    Idempotent,
     /// Repeats are dropped inside `group` for `window` from the first send that may have run.
     Keyed {
         /// The backends that share which keys they have seen.
-        group: Group,
+        group: DedupGroup,
         /// How long they remember.
         window: Nanos,
     },
     /// Must not run twice.
-    Once,
+    NonIdempotent,
 }
 
 /// What the settings say of one request class.
 #[derive(Clone, Copy, Debug)]
 pub struct ClassSettings {
     /// An answer within this time earns the full worth.
-    pub aim: Nanos,
+    pub latency_target: Nanos,
     /// The client's time over all its tries.
     pub deadline: Nanos,
     /// Worth of one request.
-    pub worth: f64,
+    pub value: f64,
     /// Share of the worth still earned after the aim.
-    pub late_share: f64,
+    pub late_value_share: f64,
     /// Whether it may be repeated.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
 }
 
 impl Default for ClassSettings {
     fn default() -> Self {
         Self {
-            aim: 500_000_000,
+            latency_target: 500_000_000,
             deadline: 1_000_000_000,
-            worth: 1.0,
-            late_share: 0.0,
-            effect: Effect::Repeatable,
+            value: 1.0,
+            late_value_share: 0.0,
+            idempotency: Idempotency::Idempotent,
         }
     }
 }
 
 /// How the list of backends reaches the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Discovery {
+pub enum DiscoveryMode {
     /// Changes come unasked.
-    Pushed,
+    Push,
     /// Only after [`Action::Watch`] or [`Action::Fetch`].
-    Asked,
+    OnRequest,
 }
 
-/// What [`Member::size`] holds.
+/// What [`Member::weight`] holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Weights {
+pub enum WeightKind {
     /// The registered size, give or take, or nothing.
-    Size,
+    Static,
     /// The size divided by 1 + requests held for each core, some time ago.
     Live,
 }
@@ -96,65 +96,65 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Most attempts for one request.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Two attempts of one request may be out together.
-    pub second_copies: bool,
+    pub concurrent_attempts: bool,
     /// Probes may be sent.
     pub probes: bool,
     /// Attempts may be cancelled.
     pub cancel: bool,
     /// Longest pause to advise after a refusal; 0 for no advice.
-    pub retry_after: Nanos,
+    pub max_retry_after: Nanos,
 }
 
 /// The figures of the four rules.
 #[derive(Clone, Copy, Debug)]
-pub struct RuleFigures {
+pub struct RuleParameters {
     /// A final answer is accepted this long after the client's deadline.
     pub answer_slack: Nanos,
     /// An asking node that has not asked for this long is deemed told of the list of that time.
-    pub ask_within: Nanos,
+    pub max_poll_interval: Nanos,
     /// Sends to a draining backend must have ended this long after the node was told.
     pub drain_grace: Nanos,
     /// Share of its capacity that a backend starts with, or more.
-    pub start_capacity: f64,
+    pub initial_capacity: f64,
     /// A backend is warm this long after its start, or sooner.
-    pub warm_after: Nanos,
+    pub slow_start_window: Nanos,
     /// A cold backend sent more than this multiple of its capacity falls over ...
-    pub tip_multiple: f64,
+    pub overload_factor: f64,
     /// ... counted over any span of this length.
-    pub fall_span: Nanos,
+    pub overload_window: Nanos,
 }
 
 /// What the node is told at its start.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The node's own zone.
-    pub home: ZoneId,
+    pub home_zone: ZoneId,
     /// How many zones there are.
-    pub zones: u32,
+    pub zone_count: u32,
     /// How many nodes share the backends, this one included.
-    pub nodes: u32,
+    pub node_count: u32,
     /// The classes, by [`ClassId`].
     pub classes: Vec<ClassSettings>,
     /// Each tenant's requests a second, over all nodes, within its share.
-    pub tenants: Vec<f64>,
+    pub tenant_quotas: Vec<f64>,
     /// Worth of a request beyond its tenant's share, against one within it.
-    pub over_share_worth: f64,
+    pub over_quota_value: f64,
     /// How the list arrives.
-    pub discovery: Discovery,
+    pub discovery: DiscoveryMode,
     /// What the list's sizes stand for.
-    pub weights: Weights,
+    pub weight_kind: WeightKind,
     /// The site's limits.
     pub limits: Limits,
     /// The figures of the rules.
-    pub rules: RuleFigures,
+    pub rules: RuleParameters,
     /// Share of the site's goal that the worst-served class decides, 0 to 1.
-    pub worst_class_goal: f64,
+    pub worst_class_weight: f64,
     /// Clients mark their repeats, all of them.
-    pub repeats_marked: bool,
+    pub retries_marked: bool,
     /// Worth is counted for each unit of work, not for each request.
-    pub worth_by_work: bool,
+    pub value_per_work: bool,
     /// Shortest time between two handlings.
     pub quantum: Nanos,
 }
@@ -163,27 +163,33 @@
     /// Settings for a node in zone `home` of `zones`, with plain values for the rest and no classes yet.
     pub fn new(home: ZoneId, zones: u32) -> Self {
         Self {
-            home,
-            zones,
-            nodes: 1,
+            home_zone: home,
+            zone_count: zones,
+            node_count: 1,
             classes: Vec::new(),
-            tenants: Vec::new(),
-            over_share_worth: 1.0,
-            discovery: Discovery::Pushed,
-            weights: Weights::Size,
-            limits: Limits { attempts: 3, second_copies: true, probes: false, cancel: true, retry_after: 0 },
-            rules: RuleFigures {
+            tenant_quotas: Vec::new(),
+            over_quota_value: 1.0,
+            discovery: DiscoveryMode::Push,
+            weight_kind: WeightKind::Static,
+            limits: Limits {
+                max_attempts: 3,
+                concurrent_attempts: true,
+                probes: false,
+                cancel: true,
+                max_retry_after: 0,
+            },
+            rules: RuleParameters {
                 answer_slack: 20_000_000,
-                ask_within: 10_000_000_000,
+                max_poll_interval: 10_000_000_000,
                 drain_grace: 500_000_000,
-                start_capacity: 0.1,
-                warm_after: 30_000_000_000,
-                tip_multiple: 2.0,
-                fall_span: 2_000_000_000,
+                initial_capacity: 0.1,
+                slow_start_window: 30_000_000_000,
+                overload_factor: 2.0,
+                overload_window: 2_000_000_000,
             },
-            worst_class_goal: 0.0,
-            repeats_marked: false,
-            worth_by_work: false,
+            worst_class_weight: 0.0,
+            retries_marked: false,
+            value_per_work: false,
             quantum: 1_000_000,
         }
     }
@@ -192,43 +198,43 @@
     pub fn validate(&self) -> Result<(), SettingsError> {
         let fail = |field, problem| Err(SettingsError { field, problem });
         let rate = |v: f64| v.is_finite() && v >= 0.0;
-        if self.zones == 0 {
-            return fail("zones", "there must be at least one");
+        if self.zone_count == 0 {
+            return fail("zone_count", "there must be at least one");
         }
-        if self.home.0 >= self.zones {
-            return fail("home", "is not one of the zones");
+        if self.home_zone.0 >= self.zone_count {
+            return fail("home_zone", "is not one of the zones");
         }
-        if self.nodes == 0 {
-            return fail("nodes", "there must be at least one");
+        if self.node_count == 0 {
+            return fail("node_count", "there must be at least one");
         }
         if self.classes.is_empty() {
             return fail("classes", "there must be at least one");
         }
         for class in &self.classes {
-            if class.aim == 0 || class.deadline == 0 {
+            if class.latency_target == 0 || class.deadline == 0 {
                 return fail("classes", "aim and deadline must be above 0");
             }
-            if !rate(class.worth) || !rate(class.late_share) {
+            if !rate(class.value) || !rate(class.late_value_share) {
                 return fail("classes", "worth and late share must be finite and not negative");
             }
         }
-        if self.limits.attempts == 0 {
-            return fail("limits.attempts", "must be at least 1");
+        if self.limits.max_attempts == 0 {
+            return fail("limits.max_attempts", "must be at least 1");
         }
-        if !rate(self.rules.tip_multiple) || self.rules.tip_multiple == 0.0 {
-            return fail("rules.tip_multiple", "must be finite and above 0");
+        if !rate(self.rules.overload_factor) || self.rules.overload_factor == 0.0 {
+            return fail("rules.overload_factor", "must be finite and above 0");
         }
-        if !rate(self.rules.start_capacity) || self.rules.start_capacity > 1.0 {
-            return fail("rules.start_capacity", "must lie between 0 and 1");
+        if !rate(self.rules.initial_capacity) || self.rules.initial_capacity > 1.0 {
+            return fail("rules.initial_capacity", "must lie between 0 and 1");
         }
-        if !self.tenants.iter().all(|&quota| rate(quota)) {
-            return fail("tenants", "must be finite and not negative");
+        if !self.tenant_quotas.iter().all(|&quota| rate(quota)) {
+            return fail("tenant_quotas", "must be finite and not negative");
         }
-        if !rate(self.over_share_worth) {
-            return fail("over_share_worth", "must be finite and not negative");
+        if !rate(self.over_quota_value) {
+            return fail("over_quota_value", "must be finite and not negative");
         }
-        if !rate(self.worst_class_goal) {
-            return fail("worst_class_goal", "must be finite and not negative");
+        if !rate(self.worst_class_weight) {
+            return fail("worst_class_weight", "must be finite and not negative");
         }
         Ok(())
     }
@@ -276,13 +282,13 @@
     pub cell: u64,
     /// What it may take.
     pub stage: Stage,
-    /// Its size against the others', or what [`Weights`] says; 0 or less counts as 1.
-    pub size: f64,
+    /// Its size against the others', or what [`WeightKind`] says; 0 or less counts as 1.
+    pub weight: f64,
     /// When it last started, if lately.
     pub online_since: Option<Nanos>,
 }
 
-/// Which list an [`Event::Fleet`] brings.
+/// Which list an [`Event::BackendList`] brings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
     /// Changed lines only.
@@ -295,7 +301,7 @@
 
 /// A backend's figures of its load; absent where not reported.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Report {
+pub struct LoadReport {
     /// Share of its cores in use.
     pub util: Option<f64>,
     /// Requests it serves a second.
@@ -340,10 +346,10 @@
     /// Its class.
     pub class: ClassId,
     /// How much work to expect, on a standard core.
-    pub hint: Option<Nanos>,
+    pub cost_hint: Option<Nanos>,
     /// The client marks it as a repeat.
-    pub repeat: bool,
-    /// Whose it is: a position in [`Settings::tenants`].
+    pub is_retry: bool,
+    /// Whose it is: a position in [`Settings::tenant_quotas`].
     pub tenant: Option<u32>,
     /// When the client gives this try up.
     pub not_after: Nanos,
@@ -351,7 +357,7 @@
 
 /// The end of one attempt.
 #[derive(Clone, Copy, Debug)]
-pub struct Settlement {
+pub struct AttemptResult {
     /// The request.
     pub request: RequestId,
     /// The attempt's number, from 0 in the order of the sends.
@@ -361,20 +367,20 @@
     /// Time since the send.
     pub elapsed: Nanos,
     /// The request has ended, by this or earlier.
-    pub ended: bool,
+    pub request_ended: bool,
     /// The backend's figures, if any came.
-    pub report: Report,
+    pub report: LoadReport,
 }
 
 /// What the operator has ordered of a zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ZoneOrder {
+pub struct ZoneOverride {
     /// The zone.
     pub zone: ZoneId,
     /// The region that it lies in; zones of one number are near to each other.
     pub region: u32,
     /// Part of the requests that the design would send there which it may be given, 0 to 1.
-    pub share: f64,
+    pub traffic_share: f64,
 }
 
 /// What the module hears.
@@ -383,27 +389,27 @@
     /// The node starts. Must come first, once.
     Start,
     /// A list of backends.
-    Fleet {
+    BackendList {
         /// Which list.
         scope: ListScope,
         /// Its lines.
         members: Vec<Member>,
     },
     /// A call to discovery failed or the watch broke.
-    FleetFailed,
+    DiscoveryFailed,
     /// The operator's orders, in place of all earlier ones. A zone that none names is open.
-    Zones(Vec<ZoneOrder>),
+    ZoneOverrides(Vec<ZoneOverride>),
     /// A request came in and is owed one final answer.
     Request(Arrival),
     /// An attempt ended.
-    Settled(Settlement),
+    AttemptEnded(AttemptResult),
     /// A streamed answer has started.
-    Started {
+    ResponseStarted {
         /// The request.
         request: RequestId,
     },
     /// A probe ended.
-    Probed {
+    ProbeEnded {
         /// The backend.
         backend: BackendId,
         /// How it ended.
@@ -411,10 +417,10 @@
         /// Time since the probe was sent.
         elapsed: Nanos,
         /// The backend's figures, if any came.
-        report: Report,
+        report: LoadReport,
     },
     /// The client has gone; nothing more is owed.
-    ClientGone {
+    ClientDisconnected {
         /// The request.
         request: RequestId,
     },
@@ -443,11 +449,11 @@
         send_by: Option<Nanos>,
     },
     /// Final answer: refused, trying again does no harm.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// Advice how long to stay away, until what is queued now has been answered or given up; 0 for none.
-        pause: Nanos,
+        retry_after: Nanos,
     },
     /// Final answer: failed, with no promise.
     Fail {
@@ -478,7 +484,7 @@
         token: u64,
     },
     /// A line for the operators' log.
-    Log(Note),
+    Log(LogEvent),
 }
 
 /// Why slow start let an attempt through, or kept it back.
@@ -511,18 +517,18 @@
     /// Part of its capacity that it is held to have, 0 to 1.
     pub ramp: f64,
     /// What a unit of warm capacity in the zone serves to this node, in work a second.
-    pub estimate: f64,
+    pub capacity_estimate: f64,
     /// What the budget is drawn from by that estimate, in work a second.
-    pub measured: f64,
+    pub measured_rate: f64,
     /// The least budget, drawn from the node's part of one request at a time.
-    pub least: f64,
+    pub min_budget: f64,
     /// What the budget is raised by: the node's part of the chance that the rule leaves.
-    pub chance: f64,
+    pub variance_allowance: f64,
     /// Delay of this backend's answers against the expected one.
     pub slowness: f64,
     /// What multiplies the budget for answers that came sooner than the ramp implies.
-    pub proven: f64,
-    /// Work that this node may send in a span of [`RuleFigures::fall_span`].
+    pub speed_factor: f64,
+    /// Work that this node may send in a span of [`RuleParameters::overload_window`].
     pub budget: f64,
     /// Work that it has sent in the span so far.
     pub spent: f64,
@@ -531,21 +537,21 @@
     /// Which rule decided.
     pub branch: SlowStartBranch,
     /// Attempts kept back since the last note on this backend, this one included.
-    pub refusals: u32,
+    pub denials: u32,
 }
 
 /// What the operators' log is told: what happened, to what, and the figures. [`fmt::Display`] words it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Note {
+pub enum LogEvent {
     /// Slow start has let an attempt to a cold backend through, or has kept some back.
     SlowStart(SlowStartDecision),
     /// A backend that was cold has its full capacity now.
-    Warm {
+    WarmedUp {
         /// The backend.
         backend: BackendId,
     },
     /// The home zone has crossed the threshold.
-    Spill {
+    Spillover {
         /// The node's own zone.
         home: ZoneId,
         /// Whether it is over the threshold now.
@@ -558,7 +564,7 @@
         /// The backend.
         backend: BackendId,
         /// For how long.
-        span: Nanos,
+        duration: Nanos,
         /// How the last attempt on it ended.
         cause: Outcome,
     },
@@ -568,7 +574,7 @@
         backend: BackendId,
     },
     /// A zone's share of the requests is what was ordered.
-    Share {
+    ShareReached {
         /// The zone.
         zone: ZoneId,
         /// The share, in percent.
@@ -576,22 +582,24 @@
     },
 }
 
-impl fmt::Display for Note {
+impl fmt::Display for LogEvent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Spill { spilling, best, .. } => {
+            Self::Spillover { spilling, best, .. } => {
                 let does = if *spilling { "spills" } else { "serves" };
                 write!(f, "home zone {does}; the best other one is {}", best.0)
             }
-            Self::Ejected { backend, span, cause } => {
-                write!(f, "backend {} ejected for {} ms: {cause:?}", backend.0, span / 1_000_000)
+            Self::Ejected { backend, duration, cause } => {
+                write!(f, "backend {} ejected for {} ms: {cause:?}", backend.0, duration / 1_000_000)
             }
             Self::Readmitted { backend } => write!(f, "backend {} readmitted: trials served", backend.0),
             Self::SlowStart(decision) => {
                 write!(f, "backend {} is cold: {:?}", decision.backend.0, decision.branch)
             }
-            Self::Warm { backend } => write!(f, "backend {} is warm", backend.0),
-            Self::Share { zone, percent } => write!(f, "zone {} has its ordered share, {percent}%", zone.0),
+            Self::WarmedUp { backend } => write!(f, "backend {} is warm", backend.0),
+            Self::ShareReached { zone, percent } => {
+                write!(f, "zone {} has its ordered share, {percent}%", zone.0)
+            }
         }
     }
 }
--- a/src/backend_view.rs
+++ b/src/backend_view.rs
@@ -37,7 +37,7 @@
     }
 
     /// Slowness against the fleet's mean, forgotten towards what its ramp implies.
-    pub(crate) fn slowness(&self, now: Nanos, rules: &RuleFigures) -> f64 {
+    pub(crate) fn slowness(&self, now: Nanos, rules: &RuleParameters) -> f64 {
         let prior = 1.0 / self.ramp(now, rules);
         let Some(at) = self.slow.at else { return prior };
         prior + (self.slow.value - prior) * decay(now.saturating_sub(at), SLOW_FORGET)
@@ -52,7 +52,7 @@
     }
 
     /// Takes a load report in; figures that are not finite or not possible are passed over.
-    pub(crate) fn report(&mut self, id: BackendId, report: Report) {
+    pub(crate) fn report(&mut self, id: BackendId, report: LoadReport) {
         let Some(backend) = self.backends.get_mut(&id) else { return };
         if let Some(util) = report.util.filter(|util| util.is_finite() && *util >= 0.0) {
             backend.util.feed(self.now, util.min(1.5), UTIL_SMOOTHING, 0.05);
@@ -66,7 +66,14 @@
     }
 
     /// Learns slowness, base time and served rate from one outcome.
-    pub(crate) fn learn(&mut self, id: BackendId, class: usize, cost: f64, load: f64, settled: &Settlement) {
+    pub(crate) fn learn(
+        &mut self,
+        id: BackendId,
+        class: usize,
+        cost: f64,
+        load: f64,
+        settled: &AttemptResult,
+    ) {
         let Some(backend) = self.backends.get_mut(&id) else { return };
         backend.in_flight = backend.in_flight.saturating_sub(1);
         let view = &mut self.classes[class];
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -14,21 +14,21 @@
         match event {
             Event::Start => {
                 self.retry_tokens = self.retries_saved();
-                if self.settings.discovery == Discovery::Asked {
+                if self.settings.discovery == DiscoveryMode::OnRequest {
                     actions.push(Action::Watch);
                 }
             }
-            Event::Fleet { scope, members } => self.fleet(scope, members),
-            Event::FleetFailed => self.ask_later(),
-            Event::Zones(orders) => self.order(&orders),
+            Event::BackendList { scope, members } => self.fleet(scope, members),
+            Event::DiscoveryFailed => self.ask_later(),
+            Event::ZoneOverrides(orders) => self.order(&orders),
             Event::Request(arrival) => self.arrive(arrival, actions),
-            Event::Settled(settlement) => self.settle(settlement, actions),
-            Event::Started { request } => {
+            Event::AttemptEnded(settlement) => self.settle(settlement, actions),
+            Event::ResponseStarted { request } => {
                 let open = self.requests.get_mut(&request).filter(|r| r.phase != Phase::Ended);
                 open.into_iter().for_each(|r| r.phase = Phase::Streaming);
             }
-            Event::Probed { backend, report, .. } => self.report(backend, report),
-            Event::ClientGone { request } => self.forget(request),
+            Event::ProbeEnded { backend, report, .. } => self.report(backend, report),
+            Event::ClientDisconnected { request } => self.forget(request),
             Event::Timer { .. } => self.housekeeping(actions),
         }
         self.held.retain(|id| self.requests.get(id).is_some_and(|request| request.phase == Phase::Held));
@@ -63,7 +63,7 @@
     }
 
     /// Log lines are for people: at most one a second.
-    pub(crate) fn log(&mut self, actions: &mut Vec<Action>, note: Note) {
+    pub(crate) fn log(&mut self, actions: &mut Vec<Action>, note: LogEvent) {
         if self.now >= self.log_at {
             self.log_at = self.now + SECOND;
             actions.push(Action::Log(note));
--- a/src/concurrency.rs
+++ b/src/concurrency.rs
@@ -25,9 +25,9 @@
 impl Balancer {
     /// Moves a zone's window by what an attempt there took, or by its having got nothing. Bounds the attempts
     /// out, not the share of the arrivals: these grow as the refused come again, and the servers do not.
-    pub(crate) fn resize(&mut self, zone: ZoneId, settled: &Settlement, class: usize, short: bool) {
+    pub(crate) fn resize(&mut self, zone: ZoneId, settled: &AttemptResult, class: usize, short: bool) {
         let part = match settled.outcome {
-            Outcome::Served => settled.elapsed as f64 / self.settings.classes[class].aim as f64,
+            Outcome::Served => settled.elapsed as f64 / self.settings.classes[class].latency_target as f64,
             // It goes by what the server took: a client's further try may have little time left.
             Outcome::TimedOut if !short => 1.5,
             Outcome::Full => 1.5,
--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -28,15 +28,15 @@
                 backend.member.stage = Stage::Gone;
             }
         }
-        let live = self.settings.weights == Weights::Live;
-        for member in members.iter().filter(|member| live && member.size.is_finite()) {
+        let live = self.settings.weight_kind == WeightKind::Live;
+        for member in members.iter().filter(|member| live && member.weight.is_finite()) {
             let known = self.kind_size.entry(member.kind).or_insert(0.0);
-            *known = known.max(member.size);
+            *known = known.max(member.weight);
         }
         for mut member in members {
-            let told = member.size;
+            let told = member.weight;
             if live {
-                member.size = self.kind_size.get(&member.kind).copied().unwrap_or(1.0);
+                member.weight = self.kind_size.get(&member.kind).copied().unwrap_or(1.0);
             }
             let backend = self.backends.entry(member.backend).or_insert_with(|| Backend::new(member));
             if backend.member.online_since != member.online_since {
@@ -45,7 +45,7 @@
             }
             backend.member = member;
             backend.lot = mix(self.seed ^ u64::from(member.backend.0).wrapping_mul(0xd6e8_feb8_6659_fd93));
-            backend.held = (live && told > 0.0).then(|| (member.size / told - 1.0).max(0.0));
+            backend.held = (live && told > 0.0).then(|| (member.weight / told - 1.0).max(0.0));
         }
         // One that is told as gone and ready again in the same life has been sent what it was sent.
         let since = self.slow_start_since();
@@ -67,10 +67,10 @@
         }
         // Before anything has come back a zone is expected to be asked for as much as any other, whatever its
         // size, and by the nodes of all others together no more than by its own.
-        let zones = f64::from(self.settings.zones);
+        let zones = f64::from(self.settings.zone_count);
         let mean = (self.zones.iter().map(|zone| zone.size).sum::<f64>() / zones).max(1e-9);
         for (zone, view) in self.zones.iter_mut().enumerate() {
-            let users = if zone == self.settings.home.0 as usize { 1.0 } else { zones };
+            let users = if zone == self.settings.home_zone.0 as usize { 1.0 } else { zones };
             view.window_start = WINDOW_START * view.size / mean / users;
         }
         if live && scope != ListScope::Cached {
--- a/src/health.rs
+++ b/src/health.rs
@@ -27,7 +27,7 @@
     }
 
     /// Ejects an outlier, readmits after two served trials.
-    pub(crate) fn judge(&mut self, id: BackendId, settled: &Settlement, actions: &mut Vec<Action>) {
+    pub(crate) fn judge(&mut self, id: BackendId, settled: &AttemptResult, actions: &mut Vec<Action>) {
         let outcome = settled.outcome;
         let weight = match outcome {
             Outcome::Served => 0,
@@ -54,7 +54,7 @@
                 Health::HalfOpen { .. } => {
                     backend.health = Health::Healthy;
                     backend.ejections = backend.ejections.saturating_sub(1);
-                    self.log(actions, Note::Readmitted { backend: id });
+                    self.log(actions, LogEvent::Readmitted { backend: id });
                 }
                 _ => {}
             }
@@ -73,7 +73,7 @@
             backend.ejections += 1;
             backend.failed_in_row = 0;
             backend.health = Health::Ejected { until: self.now + span };
-            self.log(actions, Note::Ejected { backend: id, span, cause: outcome });
+            self.log(actions, LogEvent::Ejected { backend: id, duration: span, cause: outcome });
         }
     }
 }
--- a/src/request_ledger.rs
+++ b/src/request_ledger.rs
@@ -22,7 +22,7 @@
         let class = (arrival.class.0 as usize).min(self.classes.len() - 1);
         let many = self.many();
         let view = &mut self.classes[class];
-        let cost = arrival.hint.map_or(view.base * IDLE_LOAD, |hint| hint as f64).max(1.0);
+        let cost = arrival.cost_hint.map_or(view.base * IDLE_LOAD, |hint| hint as f64).max(1.0);
         view.cost += (cost - view.cost) * if view.cost > 0.0 { COST_SMOOTHING } else { 1.0 };
         self.mean_cost += (cost - self.mean_cost) * if self.mean_cost > 0.0 { COST_SMOOTHING } else { 1.0 };
         // A try well shorter than others ends with the client's deadline: that tells when its first try came,
@@ -30,13 +30,13 @@
         // are marked the rest are first tries: repeats may get more time, which made those look late.
         let wait = arrival.not_after.saturating_sub(self.now);
         view.longest_try = view.longest_try.max(wait);
-        let worthless_late = self.settings.classes[class].late_share == 0.0;
-        let again = (arrival.repeat || !self.settings.repeats_marked) && (worthless_late || many);
+        let worthless_late = self.settings.classes[class].late_value_share == 0.0;
+        let again = (arrival.is_retry || !self.settings.retries_marked) && (worthless_late || many);
         let again = again && wait < view.longest_try - view.longest_try / 8;
         let began = arrival.not_after.saturating_sub(self.settings.classes[class].deadline);
         let first = if again { began.min(self.now) } else { self.now };
         let admit = view.admit;
-        let aim_end = arrival.not_after.min(first + self.settings.classes[class].aim);
+        let aim_end = arrival.not_after.min(first + self.settings.classes[class].latency_target);
         let request = Request {
             class,
             cost,
@@ -64,7 +64,7 @@
         // What is worth little leaves room to the rest.
         let lesser = many && (late || (over > 0.0 && self.draw() < over));
         let part = if lesser { WINDOW_LESSER } else { 1.0 };
-        let home = self.settings.home;
+        let home = self.settings.home_zone;
         let full =
             !past && !self.roomy(home, part) && !self.target().is_some_and(|zone| self.roomy(zone, part));
         if past || full || (admit < 1.0 && self.draw() >= admit) {
@@ -78,17 +78,17 @@
     pub(crate) fn permits(&self, request: &Request, backend: &Backend) -> bool {
         let class = &self.settings.classes[request.class];
         let live = matches!(request.phase, Phase::Open | Phase::Held) && self.now < request.not_after;
-        let attempts_left = (request.attempts.len() as u32) < self.settings.limits.attempts;
-        let alone = self.settings.limits.second_copies || !request.attempts.iter().any(Attempt::out);
+        let attempts_left = (request.attempts.len() as u32) < self.settings.limits.max_attempts;
+        let alone = self.settings.limits.concurrent_attempts || !request.attempts.iter().any(Attempt::out);
         let ran = request.attempts.iter().find(|attempt| attempt.may_have_run());
-        let repeat_dropped = match (class.effect, ran) {
-            (Effect::Repeatable, _) | (_, None) => true,
-            (Effect::Once, Some(_)) => false,
-            (Effect::Keyed { group, .. }, Some(first)) => {
+        let repeat_dropped = match (class.idempotency, ran) {
+            (Idempotency::Idempotent, _) | (_, None) => true,
+            (Idempotency::NonIdempotent, Some(_)) => false,
+            (Idempotency::Keyed { group, .. }, Some(first)) => {
                 let same = match group {
-                    Group::All => true,
-                    Group::Zone => first.zone == backend.member.zone,
-                    Group::Cell => first.cell == backend.member.cell,
+                    DedupGroup::All => true,
+                    DedupGroup::Zone => first.zone == backend.member.zone,
+                    DedupGroup::Cell => first.cell == backend.member.cell,
                 };
                 same && self.repeat_by(request, backend).is_some_and(|end| self.now < end)
             }
@@ -101,7 +101,9 @@
     /// When a repeat has to be on its way, for its group still to know the first copy when it runs: a server
     /// takes it up after what it holds, within the time of an answer from there. `None` without a first copy.
     pub(crate) fn repeat_by(&self, request: &Request, backend: &Backend) -> Option<Nanos> {
-        let Effect::Keyed { window, .. } = self.settings.classes[request.class].effect else { return None };
+        let Idempotency::Keyed { window, .. } = self.settings.classes[request.class].idempotency else {
+            return None;
+        };
         let first = request.attempts.iter().find(|attempt| attempt.may_have_run())?;
         let delay = self.expected_delay(backend, request.class);
         Some(first.sent.saturating_add(window).saturating_sub(delay as Nanos + self.settings.quantum))
@@ -134,16 +136,16 @@
         if let Some(decision) = slow_start {
             backend.cold_sends.retain(|(at, _)| *at >= since);
             backend.cold_sends.push_back((self.now, decision.cost));
-            actions.push(Action::Log(Note::SlowStart(decision)));
+            actions.push(Action::Log(LogEvent::SlowStart(decision)));
         }
         if let Health::Ejected { .. } = backend.health {
             backend.health = Health::HalfOpen { served: 0 };
         }
         // Past its aim an answer may be worth nothing: then a server need not work on it. With few nodes what
         // is admitted by own figures hardly waits that long, and the repeats cost more.
-        let late_share = self.settings.classes[class].late_share;
-        let drop_late =
-            self.many() && (late_share == 0.0 || (late_share <= 0.5 && self.classes[class].admit < 1.0));
+        let late_value_share = self.settings.classes[class].late_value_share;
+        let drop_late = self.many()
+            && (late_value_share == 0.0 || (late_value_share <= 0.5 && self.classes[class].admit < 1.0));
         let late = (drop_late && aim_end > self.now).then(|| aim_end - self.now);
         let timeout = late.or_else(|| self.patience(class, to, aim_end));
         actions.push(Action::Send { request: id, backend: to, timeout, send_by });
@@ -156,9 +158,15 @@
         let Some(request) = self.requests.get(&id) else { return };
         let ran = request.attempts.iter().any(Attempt::may_have_run);
         let class = &self.settings.classes[request.class];
-        let free = matches!(class.effect, Effect::Repeatable | Effect::Keyed { group: Group::All, .. });
+        let free = matches!(
+            class.idempotency,
+            Idempotency::Idempotent | Idempotency::Keyed { group: DedupGroup::All, .. }
+        );
         actions.push(if free || !ran {
-            Action::Refuse { request: id, pause: class.aim.min(self.settings.limits.retry_after) }
+            Action::Reject {
+                request: id,
+                retry_after: class.latency_target.min(self.settings.limits.max_retry_after),
+            }
         } else {
             Action::Fail { request: id }
         });
@@ -181,7 +189,7 @@
         }
     }
 
-    pub(crate) fn settle(&mut self, settled: Settlement, actions: &mut Vec<Action>) {
+    pub(crate) fn settle(&mut self, settled: AttemptResult, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&settled.request) else { return };
         let (class, cost, aim_end) = (request.class, request.cost, request.aim_end);
         let Some(attempt) = request.attempts.get_mut(settled.attempt as usize).filter(|a| a.out()) else {
@@ -194,8 +202,8 @@
         self.learn(to, class, self.mean_parts(cost), load, &settled);
         self.judge(to, &settled, actions);
         self.report(to, settled.report);
-        self.resize(zone, &settled, class, aim_end < sent + self.settings.classes[class].aim / 2);
-        if settled.ended || !open {
+        self.resize(zone, &settled, class, aim_end < sent + self.settings.classes[class].latency_target / 2);
+        if settled.request_ended || !open {
             if open && settled.outcome == Outcome::Served && (self.now <= aim_end || !self.many()) {
                 self.classes[class].served.add(self.now, 1.0);
             }
--- a/src/retries.rs
+++ b/src/retries.rs
@@ -20,14 +20,15 @@
     pub(crate) fn patience(&self, class: usize, to: BackendId, aim_end: Nanos) -> Option<Nanos> {
         let (backend, settings) = (self.backends.get(&to)?, &self.settings.classes[class]);
         let delay = self.expected_delay(backend, class);
-        let wait = ((PATIENCE * delay) as Nanos).max(settings.aim / 2);
+        let wait = ((PATIENCE * delay) as Nanos).max(settings.latency_target / 2);
         // Given up past its window nobody could repeat it, and its answer would be lost for nothing.
         let late = |window| wait + delay as Nanos + self.settings.quantum >= window;
-        if matches!(settings.effect, Effect::Keyed { window, .. } if late(window)) {
+        if matches!(settings.idempotency, Idempotency::Keyed { window, .. } if late(window)) {
             return None;
         }
-        let may =
-            settings.effect != Effect::Once && self.classes[class].samples > 50.0 && self.retry_tokens >= 1.0;
+        let may = settings.idempotency != Idempotency::NonIdempotent
+            && self.classes[class].samples > 50.0
+            && self.retry_tokens >= 1.0;
         (may && self.now + wait < aim_end).then_some(wait)
     }
 
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -29,8 +29,8 @@
         let grants = decision.branch.grants();
         if !grants {
             let mut refused = self.refused.borrow_mut();
-            let before = refused.get(&decision.backend).map_or(0, |last| last.refusals);
-            decision.refusals = before.saturating_add(1);
+            let before = refused.get(&decision.backend).map_or(0, |last| last.denials);
+            decision.denials = before.saturating_add(1);
             refused.insert(decision.backend, decision);
         }
         grants
@@ -75,8 +75,8 @@
         let spent: f64 = backend.cold_sends.iter().filter(|(at, _)| *at >= since).map(|send| send.1).sum();
         let cost = self.mean_parts(request.cold_cost);
         let zone = self.zones.get(backend.member.zone.0 as usize).copied().unwrap_or_default();
-        let span = rules.fall_span as f64 / SECOND as f64;
-        let own = !self.many() || backend.member.zone == self.settings.home;
+        let span = rules.overload_window as f64 / SECOND as f64;
+        let own = !self.many() || backend.member.zone == self.settings.home_zone;
         let estimate = zone.served / zone.used.max(LEAST_USED);
         // One that answers sooner than its ramp implies has room: what it was held to carry was too low.
         let most = if own { COLD_PROVEN } else { 1.0 };
@@ -87,11 +87,11 @@
         let measured = COLD_MEASURED * proven * estimate * backend.size() / reach;
         // Whatever the others carry, it works on one request at a time. Every node that may send has its part
         // of that, and of the chance that the rule leaves beside it.
-        let surely = rules.tip_multiple * ramp * span * self.mean_parts(SECOND as f64);
+        let surely = rules.overload_factor * ramp * span * self.mean_parts(SECOND as f64);
         let part = self.part_of_all(own) / reach;
         let least = COLD_UNMEASURED * surely * part;
         let chance = COLD_CHANCE * (surely.sqrt() + 1.0) * part;
-        let budget = (rules.tip_multiple * ramp * span * measured).max(least) + chance;
+        let budget = (rules.overload_factor * ramp * span * measured).max(least) + chance;
         let branch = if self.many() && backend.lot > zone.subset {
             SlowStartBranch::OutsideSubset
         } else if spent + cost <= budget {
@@ -105,30 +105,30 @@
             backend: backend.member.backend,
             age: backend.member.online_since.map_or(0, |since| self.now.saturating_sub(since)),
             ramp,
-            estimate,
-            measured,
-            least,
-            chance,
+            capacity_estimate: estimate,
+            measured_rate: measured,
+            min_budget: least,
+            variance_allowance: chance,
             slowness: backend.slowness(self.now, rules),
-            proven,
+            speed_factor: proven,
             budget,
             spent,
             cost,
             branch,
-            refusals: 0,
+            denials: 0,
         })
     }
 
     /// From when on what was sent to a cold backend counts.
     pub(crate) fn slow_start_since(&self) -> Nanos {
-        self.now.saturating_sub(self.settings.rules.fall_span + self.settings.quantum)
+        self.now.saturating_sub(self.settings.rules.overload_window + self.settings.quantum)
     }
 
     /// This node's part of what all nodes may send to a backend whatever they have measured: as much as any
     /// other's where nodes are few, as each of them sends to every zone. Where they are many, those of its
     /// own zone have one half, those of all other zones the other.
     pub(crate) fn part_of_all(&self, own: bool) -> f64 {
-        let (nodes, zone_nodes) = (f64::from(self.settings.nodes), self.crowd());
+        let (nodes, zone_nodes) = (f64::from(self.settings.node_count), self.crowd());
         let other_nodes = nodes - zone_nodes;
         match self.many() && other_nodes >= 1.0 {
             false => 1.0 / nodes,
@@ -143,10 +143,10 @@
     pub(crate) fn is_trial(&self, backend: &Backend, budget: f64, own: bool) -> bool {
         let least = match own {
             true if self.many() => 1.0 / self.crowd(),
-            true => 1.0 / f64::from(self.settings.nodes),
+            true => 1.0 / f64::from(self.settings.node_count),
             false => 0.0,
         };
-        let epoch = self.now / self.settings.rules.fall_span.max(1);
+        let epoch = self.now / self.settings.rules.overload_window.max(1);
         let lot = mix(backend.lot ^ epoch.wrapping_mul(0x9e37_79b9_7f4a_7c15)) as f64 / u64::MAX as f64;
         lot <= budget.max(least)
     }
@@ -161,11 +161,11 @@
     pub(crate) fn note_slow_start(&mut self, actions: &mut Vec<Action>) {
         let rules = &self.settings.rules;
         let refused = std::mem::take(self.refused.get_mut());
-        actions.extend(refused.into_values().map(|decision| Action::Log(Note::SlowStart(decision))));
+        actions.extend(refused.into_values().map(|decision| Action::Log(LogEvent::SlowStart(decision))));
         for backend in self.backends.values_mut() {
             let cold = backend.ramp(self.now, rules) < 1.0;
             if std::mem::replace(&mut backend.was_cold, cold) && !cold {
-                actions.push(Action::Log(Note::Warm { backend: backend.member.backend }));
+                actions.push(Action::Log(LogEvent::WarmedUp { backend: backend.member.backend }));
             }
         }
     }
--- a/src/state.rs
+++ b/src/state.rs
@@ -151,14 +151,14 @@
     }
 
     /// Share of its capacity that it surely has by now; 1 when warm.
-    pub(crate) fn ramp(&self, now: Nanos, rules: &RuleFigures) -> f64 {
+    pub(crate) fn ramp(&self, now: Nanos, rules: &RuleParameters) -> f64 {
         let Some(since) = self.member.online_since else { return 1.0 };
-        let age = now.saturating_sub(since) as f64 / rules.warm_after.max(1) as f64;
-        (rules.start_capacity + (1.0 - rules.start_capacity) * age).clamp(0.01, 1.0)
+        let age = now.saturating_sub(since) as f64 / rules.slow_start_window.max(1) as f64;
+        (rules.initial_capacity + (1.0 - rules.initial_capacity) * age).clamp(0.01, 1.0)
     }
 
     pub(crate) fn size(&self) -> f64 {
-        if self.member.size.is_finite() && self.member.size > 0.0 { self.member.size } else { 1.0 }
+        if self.member.weight.is_finite() && self.member.weight > 0.0 { self.member.weight } else { 1.0 }
     }
 }
 
@@ -281,15 +281,15 @@
     /// A node that knows nothing yet. `seed` drives its jitter.
     pub fn new(settings: Settings, seed: u64, now: Nanos) -> Result<Self, SettingsError> {
         settings.validate()?;
-        let zones = vec![Zone { taken: 1.0, used: 1.0, ..Zone::default() }; settings.zones as usize];
+        let zones = vec![Zone { taken: 1.0, used: 1.0, ..Zone::default() }; settings.zone_count as usize];
         let view = |class: &ClassSettings| ClassView {
-            base: class.aim as f64 / 16.0,
+            base: class.latency_target as f64 / 16.0,
             room: f64::INFINITY,
             admit: 1.0,
             ..Default::default()
         };
         let classes = settings.classes.iter().map(view).collect();
-        let tenants = vec![Rate::default(); settings.tenants.len()];
+        let tenants = vec![Rate::default(); settings.tenant_quotas.len()];
         Ok(Self {
             settings,
             tenants,
@@ -350,6 +350,6 @@
 
     /// Nodes that share a zone's backends: their load moves with this node's.
     pub(crate) fn crowd(&self) -> f64 {
-        (f64::from(self.settings.nodes) / f64::from(self.settings.zones)).max(1.0)
+        (f64::from(self.settings.node_count) / f64::from(self.settings.zone_count)).max(1.0)
     }
 }
--- a/src/zone_choice.rs
+++ b/src/zone_choice.rs
@@ -10,7 +10,7 @@
 const REFRESH: Nanos = 100 * MS;
 /// A zone at or over this utilisation spills; above it queues grow faster than figures arrive.
 const THRESHOLD: f64 = 0.75;
-/// Weights of headroom and of latency saved in a zone's score; headroom decides unless zones are alike.
+/// WeightKind of headroom and of latency saved in a zone's score; headroom decides unless zones are alike.
 const WEIGHT_HEADROOM: f64 = 0.7;
 const WEIGHT_LATENCY: f64 = 0.3;
 /// Part of the aim, on the mean, that a zone's load may fill before arrivals are turned away.
@@ -57,10 +57,10 @@
             // Forgotten slowly, so that a link that has become slow shows.
             zone.least_elapsed = zone.least_elapsed.map(|least| least * 1.002);
         }
-        let home = self.settings.home;
+        let home = self.settings.home_zone;
         let seen = |zone: &ZoneId| self.zones[zone.0 as usize].least_elapsed;
         let others =
-            (0..self.settings.zones).map(ZoneId).filter(|&zone| zone != home && !self.is_closed(zone));
+            (0..self.settings.zone_count).map(ZoneId).filter(|&zone| zone != home && !self.is_closed(zone));
         let farthest = others.clone().filter_map(|zone| seen(&zone)).fold(1.0, f64::max);
         let mut scored: Vec<(bool, f64, ZoneId)> = others
             .map(|zone| match (self.utilisation(zone), seen(&zone)) {
@@ -86,9 +86,9 @@
         });
         self.qualified = scored.iter().filter(|score| score.0).count();
         self.overflow = scored.into_iter().map(|score| score.2).collect();
-        if self.settings.weights != Weights::Live && self.many() && self.now >= self.share_at {
+        if self.settings.weight_kind != WeightKind::Live && self.many() && self.now >= self.share_at {
             self.share_at = self.now + SECOND;
-            for zone in 0..self.settings.zones {
+            for zone in 0..self.settings.zone_count {
                 let util = self.utilisation(ZoneId(zone)).unwrap_or(0.0).min(0.95);
                 self.zones[zone as usize].held = util / (1.0 - util);
             }
@@ -100,14 +100,14 @@
         let spilling = self.utilisation(home).is_some_and(|util| util >= THRESHOLD);
         if std::mem::replace(&mut self.zones[home.0 as usize].spilling, spilling) != spilling {
             let best = self.overflow.first().copied().unwrap_or(home);
-            self.log(actions, Note::Spill { home, spilling, best });
+            self.log(actions, LogEvent::Spillover { home, spilling, best });
         }
     }
 
     /// Where nodes are many: the share that spills, and the share of each class that is taken at all. Each
     /// moves by what would even out the figures over the arrivals of about the time until the next ones.
     pub(crate) fn share_out(&mut self) {
-        let home = self.settings.home;
+        let home = self.settings.home_zone;
         let asked = self.asked();
         let count = self.zones[home.0 as usize].listed.max(1.0);
         let coming = (asked * self.crowd() * 2.0 * self.list_period / count).max(LEAST_COMING);
@@ -117,9 +117,9 @@
         // Load at which the mean unit of worth would still be answered in time.
         let (mut worth, mut fitting) = (1e-9, 0.0);
         for (view, class) in self.classes.iter().zip(&self.settings.classes) {
-            let weight = view.asked.now(self.now) * class.worth;
+            let weight = view.asked.now(self.now) * class.value;
             worth += weight;
-            fitting += weight * class.aim as f64 / view.base.max(1.0);
+            fitting += weight * class.latency_target as f64 / view.base.max(1.0);
         }
         // Not under the threshold, where home serves all; one node's own times are few, hence the bounds.
         let room = (ROOM * fitting / worth - IDLE_LOAD).clamp(wanted, 1.5 * wanted);
@@ -139,7 +139,7 @@
 
     /// The backend for a request by the design, or none if it is better held.
     pub(crate) fn choose(&mut self, id: RequestId) -> Option<BackendId> {
-        let home = self.settings.home;
+        let home = self.settings.home_zone;
         // Exception: many nodes that all left an over-used zone at once would pile onto the next; so each
         // request leaves by chance, and the share follows the excess.
         let at_home = self.may_go(home);
--- a/src/zones.rs
+++ b/src/zones.rs
@@ -18,15 +18,15 @@
 
 impl Balancer {
     /// Takes the operator's orders in, in place of the last ones. A zone that none of them names is open.
-    pub(crate) fn order(&mut self, orders: &[ZoneOrder]) {
+    pub(crate) fn order(&mut self, orders: &[ZoneOverride]) {
         let before = std::mem::take(&mut self.shares);
         if orders.is_empty() && before.is_empty() {
             return;
         }
         let fresh = self.classes.iter().all(|class| class.asked.at == 0);
-        for zone in 0..self.settings.zones {
+        for zone in 0..self.settings.zone_count {
             let named = orders.iter().rev().find(|order| order.zone == ZoneId(zone));
-            let (region, wanted) = named.map_or((0, 1.0), |order| (order.region, order.share));
+            let (region, wanted) = named.map_or((0, 1.0), |order| (order.region, order.traffic_share));
             // A node that has just started moves nothing: what others moved before stands.
             let given =
                 before.get(zone as usize).map_or(if fresh { wanted } else { 1.0 }, |share| share.given);
@@ -38,7 +38,7 @@
     }
 
     /// Moves each zone's share towards what was ordered. One that has got there is told.
-    pub(crate) fn move_shares(&mut self) -> Option<Note> {
+    pub(crate) fn move_shares(&mut self) -> Option<LogEvent> {
         let span = self.now.saturating_sub(std::mem::replace(&mut self.shares_at, self.now));
         let step = span as f64 / SECOND as f64;
         let mut there = None;
@@ -52,7 +52,10 @@
                 (share.given + RETURNS * share.pace * step).min(share.wanted)
             };
             if share.given == share.wanted {
-                there = Some(Note::Share { zone: ZoneId(zone), percent: (100.0 * share.given) as u32 });
+                there = Some(LogEvent::ShareReached {
+                    zone: ZoneId(zone),
+                    percent: (100.0 * share.given) as u32,
+                });
             }
         }
         there
@@ -66,7 +69,7 @@
     /// Whether a zone lies in the node's own region.
     pub(crate) fn is_near(&self, zone: ZoneId) -> bool {
         let region = |zone: ZoneId| self.shares.get(zone.0 as usize).map_or(0, |share| share.region);
-        region(zone) == region(self.settings.home)
+        region(zone) == region(self.settings.home_zone)
     }
 
     /// Whether one request may go to a zone: by chance, so that the zone's share of them does.
--- a/tests/any_sequence.rs
+++ b/tests/any_sequence.rs
@@ -28,7 +28,7 @@
 
 #[derive(Default)]
 struct Tracked {
-    effect: usize,
+    class: usize,
     not_after: Nanos,
     attempts: Vec<(BackendId, Nanos, Option<Outcome>)>,
     ended: bool,
@@ -36,7 +36,7 @@
 
 struct Run {
     now: Nanos,
-    effects: Vec<Effect>,
+    effects: Vec<Idempotency>,
     listed: BTreeMap<BackendId, Member>,
     requests: BTreeMap<RequestId, Tracked>,
     cap: usize,
@@ -48,12 +48,12 @@
         for action in actions {
             match *action {
                 Action::Send { request, backend, .. } => self.check_send(request, backend),
-                Action::Refuse { request, .. } => {
+                Action::Reject { request, .. } => {
                     let tracked = self.requests.get_mut(&request).expect("a known request");
                     let ran = tracked.attempts.iter().any(|a| a.2.is_none_or(Outcome::may_have_run));
                     let free = matches!(
-                        self.effects[tracked.effect],
-                        Effect::Repeatable | Effect::Keyed { group: Group::All, .. }
+                        self.effects[tracked.class],
+                        Idempotency::Idempotent | Idempotency::Keyed { group: DedupGroup::All, .. }
                     );
                     assert!(free || !ran, "refused what may have run");
                     assert!(!std::mem::replace(&mut tracked.ended, true), "two final answers");
@@ -77,16 +77,16 @@
         assert!(self.copies || tracked.attempts.iter().all(|a| a.2.is_some()), "two copies");
         let ran: Vec<_> = tracked.attempts.iter().filter(|a| a.2.is_none_or(Outcome::may_have_run)).collect();
         if let Some(&&(first, at, _)) = ran.first() {
-            match self.effects[tracked.effect] {
-                Effect::Repeatable => {}
-                Effect::Once => panic!("an unsafe request was sent again"),
-                Effect::Keyed { group, window } => {
+            match self.effects[tracked.class] {
+                Idempotency::Idempotent => {}
+                Idempotency::NonIdempotent => panic!("an unsafe request was sent again"),
+                Idempotency::Keyed { group, window } => {
                     assert!(self.now <= at + window, "past the window");
                     let first = self.listed[&first];
                     assert!(match group {
-                        Group::All => true,
-                        Group::Zone => first.zone == member.zone,
-                        Group::Cell => first.cell == member.cell,
+                        DedupGroup::All => true,
+                        DedupGroup::Zone => first.zone == member.zone,
+                        DedupGroup::Cell => first.cell == member.cell,
                     });
                 }
             }
@@ -99,43 +99,44 @@
     let mut draw = Draw(seed);
     let window = (1 + draw.below(400)) * MS;
     let effects = vec![
-        Effect::Repeatable,
-        Effect::Once,
-        Effect::Keyed { group: Group::All, window },
-        Effect::Keyed { group: Group::Zone, window },
-        Effect::Keyed { group: Group::Cell, window },
+        Idempotency::Idempotent,
+        Idempotency::NonIdempotent,
+        Idempotency::Keyed { group: DedupGroup::All, window },
+        Idempotency::Keyed { group: DedupGroup::Zone, window },
+        Idempotency::Keyed { group: DedupGroup::Cell, window },
     ];
     let mut given = Settings::new(ZoneId(0), 1 + draw.below(3) as u32);
-    given.classes = effects.iter().map(|&effect| class(50 + draw.below(500), 600, effect)).collect();
-    given.nodes = [1, 3, 1000][draw.below(3) as usize];
-    given.weights = if draw.below(2) == 0 { Weights::Live } else { Weights::Size };
-    given.limits.attempts = 1 + draw.below(4) as u32;
-    given.limits.second_copies = draw.below(2) == 0;
+    given.classes =
+        effects.iter().map(|&idempotency| class(50 + draw.below(500), 600, idempotency)).collect();
+    given.node_count = [1, 3, 1000][draw.below(3) as usize];
+    given.weight_kind = if draw.below(2) == 0 { WeightKind::Live } else { WeightKind::Static };
+    given.limits.max_attempts = 1 + draw.below(4) as u32;
+    given.limits.concurrent_attempts = draw.below(2) == 0;
     given.limits.cancel = draw.below(2) == 0;
-    given.discovery = if draw.below(2) == 0 { Discovery::Asked } else { Discovery::Pushed };
+    given.discovery = if draw.below(2) == 0 { DiscoveryMode::OnRequest } else { DiscoveryMode::Push };
     let mut run = Run {
         now: SECOND,
         effects,
         listed: BTreeMap::new(),
         requests: BTreeMap::new(),
-        cap: given.limits.attempts as usize,
-        copies: given.limits.second_copies,
+        cap: given.limits.max_attempts as usize,
+        copies: given.limits.concurrent_attempts,
     };
-    let zones = given.zones;
+    let zones = given.zone_count;
     let mut node = Node::new(given, vec![]);
     for step in 0..2000u64 {
         let event = match draw.below(12) {
             0..=3 => {
                 let request = RequestId(step);
-                let effect = draw.below(5) as usize;
+                let class = draw.below(5) as usize;
                 let not_after = run.now + draw.below(900) * MS;
-                run.requests.insert(request, Tracked { effect, not_after, ..Tracked::default() });
+                run.requests.insert(request, Tracked { class, not_after, ..Tracked::default() });
                 let hint = (draw.below(2) == 0).then(|| draw.below(90) * MS);
                 Event::Request(Arrival {
                     request,
-                    class: ClassId(effect as u32),
-                    hint,
-                    repeat: false,
+                    class: ClassId(class as u32),
+                    cost_hint: hint,
+                    is_retry: false,
                     tenant: None,
                     not_after,
                 })
@@ -159,7 +160,14 @@
                 let elapsed = run.now - tracked.attempts[attempt].1;
                 let figure = [0.1, 0.7, 0.99, f64::NAN, -2.0, 1e300][draw.below(6) as usize];
                 let attempt = attempt as u32;
-                Event::Settled(Settlement { request, attempt, outcome, elapsed, ended, report: util(figure) })
+                Event::AttemptEnded(AttemptResult {
+                    request,
+                    attempt,
+                    outcome,
+                    elapsed,
+                    request_ended: ended,
+                    report: util(figure),
+                })
             }
             8 => {
                 let members: Vec<Member> = (0..draw.below(8))
@@ -170,7 +178,7 @@
                             stage: stage[draw.below(4) as usize],
                             cell: u64::from(backend % 3),
                             online_since: (draw.below(3) == 0).then_some(run.now),
-                            size: [1.0, 2.0, 0.0, f64::NAN][draw.below(4) as usize],
+                            weight: [1.0, 2.0, 0.0, f64::NAN][draw.below(4) as usize],
                             ..member(backend, backend % (zones + 1))
                         }
                     })
@@ -181,23 +189,30 @@
                 }
                 run.listed.extend(members.iter().map(|member| (member.backend, *member)));
                 let scope = if full { ListScope::Full } else { ListScope::Changes };
-                Event::Fleet { scope, members }
+                Event::BackendList { scope, members }
             }
             9 => match draw.below(4) {
-                0 => Event::FleetFailed,
+                0 => Event::DiscoveryFailed,
                 1 => {
                     let request = RequestId(draw.below(step + 1));
                     if let Some(tracked) = run.requests.get_mut(&request) {
                         tracked.ended = true;
                     }
-                    Event::ClientGone { request }
+                    Event::ClientDisconnected { request }
                 }
                 2 => {
                     let (request, attempt) = (RequestId(draw.below(step + 1) + 90_000), 3);
                     let (outcome, report) = (Outcome::Served, util(0.5));
-                    Event::Settled(Settlement { request, attempt, outcome, elapsed: 0, ended: true, report })
+                    Event::AttemptEnded(AttemptResult {
+                        request,
+                        attempt,
+                        outcome,
+                        elapsed: 0,
+                        request_ended: true,
+                        report,
+                    })
                 }
-                _ => Event::Probed {
+                _ => Event::ProbeEnded {
                     backend: BackendId(draw.below(12) as u32),
                     outcome: Outcome::Served,
                     elapsed: MS,
@@ -231,10 +246,16 @@
             let tracked = run.requests.get_mut(&request).unwrap();
             tracked.attempts[attempt].2 = Some(Outcome::TimedOut);
             let (ended, elapsed) = (tracked.ended, run.now - tracked.attempts[attempt].1);
-            let (attempt, report) = (attempt as u32, Report::default());
+            let (attempt, report) = (attempt as u32, LoadReport::default());
             let outcome = Outcome::TimedOut;
-            let actions =
-                node.tell(Event::Settled(Settlement { request, attempt, outcome, elapsed, ended, report }));
+            let actions = node.tell(Event::AttemptEnded(AttemptResult {
+                request,
+                attempt,
+                outcome,
+                elapsed,
+                request_ended: ended,
+                report,
+            }));
             run.check(&actions);
         }
     }
@@ -253,7 +274,8 @@
 #[test]
 fn the_same_events_give_the_same_actions() {
     let run = || {
-        let mut node = Node::new(settings(Effect::Repeatable), (0..9).map(|b| member(b, b % 3)).collect());
+        let mut node =
+            Node::new(settings(Idempotency::Idempotent), (0..9).map(|b| member(b, b % 3)).collect());
         node.serve(300, |to| util(0.3 + 0.08 * f64::from(to.0)))
     };
     assert_eq!(run(), run());
--- a/tests/choice.rs
+++ b/tests/choice.rs
@@ -14,7 +14,7 @@
 
 /// Teaches the node the utilisation of every zone, remote ones by keeping home out of the list.
 fn taught(utils: [f64; 3]) -> Node {
-    let mut node = Node::new(settings(Effect::Repeatable), zones());
+    let mut node = Node::new(settings(Idempotency::Idempotent), zones());
     for remote in [1, 2, 0] {
         let only = zones().into_iter().filter(|member| member.zone == ZoneId(remote)).collect();
         node.list(ListScope::Full, only);
@@ -26,7 +26,7 @@
 
 #[test]
 fn home_serves_under_the_threshold() {
-    let mut node = Node::new(settings(Effect::Repeatable), zones());
+    let mut node = Node::new(settings(Idempotency::Idempotent), zones());
     let used = node.serve(50, |_| util(0.5));
     // The first sends count in full until the first figures have come back.
     assert!(used[25..].iter().all(|&to| zone(to) == 0), "{used:?}");
@@ -34,14 +34,14 @@
 
 #[test]
 fn an_unseen_zone_gets_the_first_overflow() {
-    let mut node = Node::new(settings(Effect::Repeatable), zones());
+    let mut node = Node::new(settings(Idempotency::Idempotent), zones());
     let used = node.serve(50, |to| util(if zone(to) == 0 { 0.95 } else { 0.3 }));
     assert!(used.iter().any(|&to| zone(to) != 0));
 }
 
 #[test]
 fn overflow_goes_to_the_zone_with_headroom() {
-    let mut node = Node::new(settings(Effect::Repeatable), zones());
+    let mut node = Node::new(settings(Idempotency::Idempotent), zones());
     let load = [0.95, 0.7, 0.2];
     let used = node.serve(200, |to| util(load[zone(to) as usize]));
     let late = &used[50..];
@@ -51,7 +51,7 @@
 
 #[test]
 fn home_serves_when_no_zone_qualifies() {
-    let mut node = Node::new(settings(Effect::Repeatable), zones());
+    let mut node = Node::new(settings(Idempotency::Idempotent), zones());
     let used = node.serve(200, |_| util(0.95));
     let home = used[50..].iter().filter(|&&to| zone(to) == 0).count();
     assert!(home > 100, "{home} of 150 stayed home");
@@ -77,7 +77,7 @@
 #[test]
 fn figures_that_cannot_be_are_passed_over() {
     for figure in [f64::NAN, f64::INFINITY, -1.0] {
-        let mut node = Node::new(settings(Effect::Repeatable), zones());
+        let mut node = Node::new(settings(Idempotency::Idempotent), zones());
         let used = node.serve(30, |_| util(figure));
         assert!(used.len() >= 30, "{figure}: {}", used.len());
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -12,12 +12,17 @@
     pub next: u64,
 }
 
-pub fn class(aim_ms: u64, deadline_ms: u64, effect: Effect) -> ClassSettings {
-    ClassSettings { aim: aim_ms * MS, deadline: deadline_ms * MS, effect, ..ClassSettings::default() }
+pub fn class(aim_ms: u64, deadline_ms: u64, idempotency: Idempotency) -> ClassSettings {
+    ClassSettings {
+        latency_target: aim_ms * MS,
+        deadline: deadline_ms * MS,
+        idempotency,
+        ..ClassSettings::default()
+    }
 }
 
-pub fn settings(effect: Effect) -> Settings {
-    Settings { classes: vec![class(400, 1000, effect)], nodes: 2, ..Settings::new(ZoneId(0), 3) }
+pub fn settings(idempotency: Idempotency) -> Settings {
+    Settings { classes: vec![class(400, 1000, idempotency)], node_count: 2, ..Settings::new(ZoneId(0), 3) }
 }
 
 pub fn member(backend: u32, zone: u32) -> Member {
@@ -25,13 +30,13 @@
         backend: BackendId(backend),
         zone: ZoneId(zone),
         cell: zone.into(),
-        size: 1.0,
+        weight: 1.0,
         ..Member::default()
     }
 }
 
-pub fn util(util: f64) -> Report {
-    Report { util: Some(util), ..Report::default() }
+pub fn util(util: f64) -> LoadReport {
+    LoadReport { util: Some(util), ..LoadReport::default() }
 }
 
 impl Node {
@@ -43,7 +48,7 @@
         let balancer = Balancer::new(settings, seed, SECOND).expect("usable settings");
         let mut node = Self { balancer, now: SECOND, next: 0 };
         node.tell(Event::Start);
-        node.tell(Event::Fleet { scope: ListScope::Cached, members });
+        node.tell(Event::BackendList { scope: ListScope::Cached, members });
         node
     }
 
@@ -54,7 +59,7 @@
     }
 
     pub fn list(&mut self, scope: ListScope, members: Vec<Member>) -> Vec<Action> {
-        self.tell(Event::Fleet { scope, members })
+        self.tell(Event::BackendList { scope, members })
     }
 
     /// A request of class 0 that its client gives up after `wait`.
@@ -71,7 +76,14 @@
         let request = RequestId(self.next);
         self.next += 1;
         let not_after = self.now + wait;
-        let arrival = Arrival { request, class: ClassId(0), hint: None, repeat, tenant: None, not_after };
+        let arrival = Arrival {
+            request,
+            class: ClassId(0),
+            cost_hint: None,
+            is_retry: repeat,
+            tenant: None,
+            not_after,
+        };
         (request, self.tell(Event::Request(arrival)))
     }
 
@@ -80,7 +92,7 @@
         request: RequestId,
         attempt: u32,
         outcome: Outcome,
-        report: Report,
+        report: LoadReport,
     ) -> Vec<Action> {
         self.settle_after(request, attempt, outcome, 30 * MS, report)
     }
@@ -91,10 +103,17 @@
         attempt: u32,
         outcome: Outcome,
         elapsed: Nanos,
-        report: Report,
+        report: LoadReport,
     ) -> Vec<Action> {
         let ended = outcome == Outcome::Served;
-        self.tell(Event::Settled(Settlement { request, attempt, outcome, elapsed, ended, report }))
+        self.tell(Event::AttemptEnded(AttemptResult {
+            request,
+            attempt,
+            outcome,
+            elapsed,
+            request_ended: ended,
+            report,
+        }))
     }
 
     /// Lets time pass with the housekeeping timer coming due.
@@ -109,7 +128,7 @@
     }
 
     /// Asks `count` times, one in 10 ms; every send is served after 40 ms with the report of its backend.
-    pub fn serve(&mut self, count: usize, report: impl Fn(BackendId) -> Report) -> Vec<BackendId> {
+    pub fn serve(&mut self, count: usize, report: impl Fn(BackendId) -> LoadReport) -> Vec<BackendId> {
         let mut used = Vec::new();
         let mut out: Vec<(RequestId, u32, BackendId, Nanos)> = Vec::new();
         for turn in 0..count + 40 {
@@ -145,7 +164,7 @@
 }
 
 pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|action| matches!(action, Action::Refuse { .. }))
+    actions.iter().any(|action| matches!(action, Action::Reject { .. }))
 }
 
 pub fn failed(actions: &[Action]) -> bool {
--- a/tests/contract.rs
+++ b/tests/contract.rs
@@ -7,8 +7,8 @@
 const RAN: [Outcome; 4] = [Outcome::Error, Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled];
 const NOT_RAN: [Outcome; 3] = [Outcome::Full, Outcome::ConnectFailed, Outcome::Moot];
 
-fn keyed(group: Group) -> Effect {
-    Effect::Keyed { group, window: 200 * MS }
+fn keyed(group: DedupGroup) -> Idempotency {
+    Idempotency::Keyed { group, window: 200 * MS }
 }
 
 fn three_zones() -> Vec<Member> {
@@ -17,7 +17,7 @@
 
 #[test]
 fn a_request_without_any_backend_is_refused_in_time() {
-    let mut node = Node::new(settings(Effect::Once), vec![]);
+    let mut node = Node::new(settings(Idempotency::NonIdempotent), vec![]);
     let (_, actions) = node.ask(300 * MS);
     assert!(sent(&actions).is_none() && !refused(&actions) && !failed(&actions), "held at first");
     assert!(refused(&node.pass(300 * MS)));
@@ -25,29 +25,29 @@
 
 #[test]
 fn not_after_binds_and_not_the_class() {
-    let mut node = Node::new(settings(Effect::Repeatable), vec![]);
+    let mut node = Node::new(settings(Idempotency::Idempotent), vec![]);
     node.ask(50 * MS);
     assert!(refused(&node.pass(60 * MS)));
 }
 
 #[test]
 fn a_time_out_at_the_deadline_gets_a_final_answer() {
-    let mut node = Node::new(settings(Effect::Once), three_zones());
+    let mut node = Node::new(settings(Idempotency::NonIdempotent), three_zones());
     let (request, actions) = node.ask(100 * MS);
     assert!(sent(&actions).is_some());
     node.now += 100 * MS;
-    assert!(failed(&node.settle(request, 0, Outcome::TimedOut, Report::default())));
+    assert!(failed(&node.settle(request, 0, Outcome::TimedOut, LoadReport::default())));
 }
 
 #[test]
 fn an_ended_request_is_passed_over() {
-    let mut node = Node::new(settings(Effect::Repeatable), three_zones());
+    let mut node = Node::new(settings(Idempotency::Idempotent), three_zones());
     let (request, _) = node.ask(SECOND);
     node.settle(request, 0, Outcome::Served, util(0.1));
     assert!(node.settle(request, 0, Outcome::Error, util(0.1)).is_empty());
-    assert!(node.tell(Event::ClientGone { request }).is_empty());
+    assert!(node.tell(Event::ClientDisconnected { request }).is_empty());
     let (gone, _) = node.ask(SECOND);
-    node.tell(Event::ClientGone { request: gone });
+    node.tell(Event::ClientDisconnected { request: gone });
     let actions = node.settle(gone, 0, Outcome::Error, util(0.1));
     assert!(sent(&actions).is_none() && !refused(&actions) && !failed(&actions));
 }
@@ -55,14 +55,14 @@
 #[test]
 fn once_is_sent_again_only_when_it_never_ran() {
     for outcome in NOT_RAN {
-        let mut node = Node::new(settings(Effect::Once), three_zones());
+        let mut node = Node::new(settings(Idempotency::NonIdempotent), three_zones());
         let (request, _) = node.ask(SECOND);
-        assert!(sent(&node.settle(request, 0, outcome, Report::default())).is_some(), "{outcome:?}");
+        assert!(sent(&node.settle(request, 0, outcome, LoadReport::default())).is_some(), "{outcome:?}");
     }
     for outcome in RAN {
-        let mut node = Node::new(settings(Effect::Once), three_zones());
+        let mut node = Node::new(settings(Idempotency::NonIdempotent), three_zones());
         let (request, _) = node.ask(SECOND);
-        let actions = node.settle(request, 0, outcome, Report::default());
+        let actions = node.settle(request, 0, outcome, LoadReport::default());
         assert!(sent(&actions).is_none() && failed(&actions) && !refused(&actions), "{outcome:?}");
     }
 }
@@ -70,18 +70,18 @@
 #[test]
 fn keyed_stays_in_its_group_and_window() {
     for outcome in RAN {
-        let mut node = Node::new(settings(keyed(Group::Zone)), three_zones());
+        let mut node = Node::new(settings(keyed(DedupGroup::Zone)), three_zones());
         let (request, first) = node.ask(SECOND);
-        let again = sent(&node.settle(request, 0, outcome, Report::default()));
+        let again = sent(&node.settle(request, 0, outcome, LoadReport::default()));
         assert_ne!(again, None, "{outcome:?}");
         assert!(again.is_none_or(|to| to.0 < 2), "left its zone after {first:?}");
 
-        let mut single = settings(keyed(Group::Zone));
-        single.limits.second_copies = false;
+        let mut single = settings(keyed(DedupGroup::Zone));
+        single.limits.concurrent_attempts = false;
         let mut node = Node::new(single, three_zones());
         let (request, _) = node.ask(SECOND);
         node.pass(200 * MS);
-        let late = node.settle(request, 0, outcome, Report::default());
+        let late = node.settle(request, 0, outcome, LoadReport::default());
         assert!(sent(&late).is_none() && failed(&late), "sent past the window after {outcome:?}");
     }
 }
@@ -89,32 +89,32 @@
 #[test]
 fn keyed_by_cell_does_not_leave_the_cell() {
     let members = vec![Member { cell: 1, ..member(0, 0) }, Member { cell: 2, ..member(1, 0) }];
-    let mut node = Node::new(settings(keyed(Group::Cell)), members);
+    let mut node = Node::new(settings(keyed(DedupGroup::Cell)), members);
     let (request, first) = node.ask(SECOND);
     node.list(
         ListScope::Changes,
         vec![Member { stage: Stage::Draining, ..member(sent(&first).unwrap().0, 0) }],
     );
-    let actions = node.settle(request, 0, Outcome::Reset, Report::default());
+    let actions = node.settle(request, 0, Outcome::Reset, LoadReport::default());
     assert!(sent(&actions).is_none() && failed(&actions));
 }
 
 #[test]
 fn keyed_for_all_may_be_refused_after_it_ran() {
-    let mut node = Node::new(settings(keyed(Group::All)), vec![member(0, 0)]);
+    let mut node = Node::new(settings(keyed(DedupGroup::All)), vec![member(0, 0)]);
     let (request, _) = node.ask(SECOND);
     node.list(ListScope::Changes, vec![Member { stage: Stage::Gone, ..member(0, 0) }]);
-    assert!(refused(&node.settle(request, 0, Outcome::Reset, Report::default())));
+    assert!(refused(&node.settle(request, 0, Outcome::Reset, LoadReport::default())));
 }
 
 #[test]
 fn attempts_stop_at_the_cap() {
-    let mut limits = settings(Effect::Repeatable);
-    limits.limits.attempts = 2;
+    let mut limits = settings(Idempotency::Idempotent);
+    limits.limits.max_attempts = 2;
     let mut node = Node::new(limits, three_zones());
     let (request, _) = node.ask(SECOND);
-    assert!(sent(&node.settle(request, 0, Outcome::ConnectFailed, Report::default())).is_some());
-    assert!(sent(&node.settle(request, 1, Outcome::ConnectFailed, Report::default())).is_none());
+    assert!(sent(&node.settle(request, 0, Outcome::ConnectFailed, LoadReport::default())).is_some());
+    assert!(sent(&node.settle(request, 1, Outcome::ConnectFailed, LoadReport::default())).is_none());
 }
 
 #[test]
@@ -128,7 +128,7 @@
         (ListScope::Cached, vec![Member { stage: Stage::Draining, ..member(0, 0) }, member(1, 1)]),
     ];
     for (scope, members) in lists {
-        let mut node = Node::new(settings(Effect::Repeatable), two.clone());
+        let mut node = Node::new(settings(Idempotency::Idempotent), two.clone());
         node.list(scope, members);
         for _ in 0..20 {
             assert_ne!(sent(&node.ask(SECOND).1), Some(BackendId(0)), "{scope:?}");
@@ -138,11 +138,11 @@
 
 #[test]
 fn an_asking_node_watches_and_asks_again_well_within_the_deemed_told_interval() {
-    let mut given = settings(Effect::Repeatable);
-    given.discovery = Discovery::Asked;
+    let mut given = settings(Idempotency::Idempotent);
+    given.discovery = DiscoveryMode::OnRequest;
     let mut node = Node::new(given, three_zones());
     for _ in 0..8 {
-        node.tell(Event::FleetFailed);
+        node.tell(Event::DiscoveryFailed);
         let actions = node.pass(8 * SECOND);
         assert_eq!(actions.iter().filter(|action| **action == Action::Watch).count(), 1);
     }
@@ -151,7 +151,7 @@
 /// Work of about 30 ms each, all backends half used: a cold one must get a small share of it.
 #[test]
 fn a_cold_backend_gets_its_budget_and_no_more() {
-    let mut node = Node::new(settings(Effect::Repeatable), vec![member(0, 0), member(1, 0)]);
+    let mut node = Node::new(settings(Idempotency::Idempotent), vec![member(0, 0), member(1, 0)]);
     node.serve(200, |_| util(0.5));
     let cold = Member { online_since: Some(node.now), ..member(9, 0) };
     node.list(ListScope::Changes, vec![cold]);
@@ -166,7 +166,7 @@
 
 #[test]
 fn a_restarted_backend_is_cold_again() {
-    let mut node = Node::new(settings(Effect::Repeatable), vec![member(0, 0)]);
+    let mut node = Node::new(settings(Idempotency::Idempotent), vec![member(0, 0)]);
     node.serve(50, |_| util(0.5));
     node.list(ListScope::Changes, vec![Member { online_since: Some(node.now), ..member(0, 0) }]);
     let burst: usize = (0..30).filter(|_| sent(&node.ask(SECOND).1).is_some()).count();
@@ -177,8 +177,10 @@
 /// work behind them was far more than counted.
 #[test]
 fn low_hints_do_not_stretch_the_cold_budget() {
-    let given =
-        Settings { classes: vec![class(60_000, 90_000, Effect::Repeatable)], ..settings(Effect::Repeatable) };
+    let given = Settings {
+        classes: vec![class(60_000, 90_000, Idempotency::Idempotent)],
+        ..settings(Idempotency::Idempotent)
+    };
     let mut node = Node::new(given, vec![member(0, 0), member(1, 0)]);
     let ask = |node: &mut Node, hint| {
         let request = RequestId(node.next);
@@ -189,8 +191,8 @@
             node.tell(Event::Request(Arrival {
                 request,
                 class,
-                hint,
-                repeat: false,
+                cost_hint: hint,
+                is_retry: false,
                 tenant: None,
                 not_after,
             })),
@@ -219,17 +221,17 @@
             _ => None,
         })
     };
-    let mut node = Node::new(settings(keyed(Group::Zone)), three_zones());
+    let mut node = Node::new(settings(keyed(DedupGroup::Zone)), three_zones());
     let (request, actions) = node.ask(SECOND);
     assert_eq!(by(&actions), Some(None), "nothing is repeated yet");
     let sent_at = node.now;
     node.now += 50 * MS;
-    let again = by(&node.settle(request, 0, Outcome::Reset, Report::default())).expect("a repeat");
+    let again = by(&node.settle(request, 0, Outcome::Reset, LoadReport::default())).expect("a repeat");
     let end = again.expect("a limit");
     assert!(node.now < end && end + 30 * MS < sent_at + 200 * MS, "{}", (end - sent_at) / MS);
     // What would be sent inside the window and run past it is not sent.
-    let mut node = Node::new(settings(keyed(Group::Zone)), three_zones());
+    let mut node = Node::new(settings(keyed(DedupGroup::Zone)), three_zones());
     let (request, _) = node.ask(SECOND);
     node.now += 190 * MS;
-    assert!(failed(&node.settle(request, 0, Outcome::Reset, Report::default())));
+    assert!(failed(&node.settle(request, 0, Outcome::Reset, LoadReport::default())));
 }
--- a/tests/many.rs
+++ b/tests/many.rs
@@ -8,13 +8,13 @@
 
 /// Settings of one of many nodes in three zones, with live weights and late answers worth nothing.
 fn many() -> Settings {
-    Settings { nodes: NODES, weights: Weights::Live, ..settings(Effect::Repeatable) }
+    Settings { node_count: NODES, weight_kind: WeightKind::Live, ..settings(Idempotency::Idempotent) }
 }
 
 /// A list of ten backends a zone, each holding what `held` says for its zone.
 fn listed(held: [f64; 3]) -> Vec<Member> {
     let weight = |zone: u32| 1.0 / (1.0 + held[zone as usize]);
-    (0..30).map(|b| Member { size: weight(b / 10), ..member(b, b / 10) }).collect()
+    (0..30).map(|b| Member { weight: weight(b / 10), ..member(b, b / 10) }).collect()
 }
 
 fn node(seed: u64, given: Settings, members: Vec<Member>) -> Node {
@@ -35,7 +35,7 @@
         node.now += took;
         if let Some(to) = sent(&actions) {
             used.push(to);
-            node.settle_after(request, 0, Outcome::Served, took, Report::default());
+            node.settle_after(request, 0, Outcome::Served, took, LoadReport::default());
         }
         node.now += SECOND / 2 - took;
     }
@@ -75,7 +75,7 @@
 #[test]
 fn nodes_do_not_herd_onto_what_a_late_list_shows_as_free() {
     let members: Vec<Member> =
-        (0..30).map(|b| Member { size: if b == 3 { 1.0 } else { 0.25 }, ..member(b, b / 10) }).collect();
+        (0..30).map(|b| Member { weight: if b == 3 { 1.0 } else { 0.25 }, ..member(b, b / 10) }).collect();
     let to_free = (0..200).filter(|&seed| {
         let mut node = node(seed, many(), members.clone());
         sent(&node.ask(SECOND).1) == Some(BackendId(3))
@@ -104,7 +104,7 @@
         while let Some(tried) = to {
             widened |= !subset.contains(&tried.0);
             let failed = if subset.contains(&tried.0) { Outcome::ConnectFailed } else { Outcome::Served };
-            to = sent(&node.settle_after(request, attempt, failed, MS, Report::default()));
+            to = sent(&node.settle_after(request, attempt, failed, MS, LoadReport::default()));
             attempt += 1;
         }
     }
@@ -118,8 +118,9 @@
     let mut logs = 0;
     for _ in 0..40 {
         let (request, _) = node.ask(SECOND);
-        let actions = node.settle_after(request, 0, Outcome::ConnectFailed, MS, Report::default());
-        logs += actions.iter().filter(|action| matches!(action, Action::Log(Note::Ejected { .. }))).count();
+        let actions = node.settle_after(request, 0, Outcome::ConnectFailed, MS, LoadReport::default());
+        logs +=
+            actions.iter().filter(|action| matches!(action, Action::Log(LogEvent::Ejected { .. }))).count();
         node.now += SECOND;
     }
     assert_eq!(logs, 0);
@@ -133,7 +134,7 @@
         let (request, actions) = node.ask(500 * MS - (turn % 7) * MS);
         assert!(sent(&actions).is_some(), "turn {turn}");
         node.now += 50 * MS;
-        node.settle_after(request, 0, Outcome::Served, 50 * MS, Report::default());
+        node.settle_after(request, 0, Outcome::Served, 50 * MS, LoadReport::default());
         node.now += 400 * MS;
     }
 }
@@ -143,7 +144,7 @@
 fn a_repeat_past_its_aim_is_refused_where_late_answers_are_worth_nothing() {
     let mut node = node(3, many(), listed([0.5; 3]));
     let (request, _) = node.ask(800 * MS);
-    node.settle(request, 0, Outcome::Served, Report::default());
+    node.settle(request, 0, Outcome::Served, LoadReport::default());
     // The deadline is 1 s and the aim 400 ms: a try with 300 ms left began 700 ms ago.
     let (_, actions) = node.ask(300 * MS);
     assert!(sent(&actions).is_none() && refused(&actions));
@@ -153,7 +154,7 @@
 #[test]
 fn a_class_not_asked_for_of_late_is_taken() {
     let mut given = many();
-    given.classes.push(class(400, 1000, Effect::Repeatable));
+    given.classes.push(class(400, 1000, Idempotency::Idempotent));
     let mut node = node(3, given, listed([0.5; 3]));
     serve(&mut node, 10, [0.5; 3], 50 * MS);
     let (request, class) = (RequestId(9_999), ClassId(1));
@@ -161,8 +162,8 @@
     let actions = node.tell(Event::Request(Arrival {
         request,
         class,
-        hint: None,
-        repeat: false,
+        cost_hint: None,
+        is_retry: false,
         tenant: None,
         not_after,
     }));
@@ -180,7 +181,7 @@
             node.now += 100 * MS;
             if sent(&actions).is_some() {
                 taken += 1;
-                node.settle_after(request, 0, outcome, 100 * MS, Report::default());
+                node.settle_after(request, 0, outcome, 100 * MS, LoadReport::default());
             }
             node.now += 100 * MS;
         }
@@ -200,7 +201,7 @@
 #[test]
 fn attempts_end_at_a_worthless_aim_only_where_nodes_are_many() {
     let timeout = |nodes| {
-        let given = Settings { nodes, ..many() };
+        let given = Settings { node_count: nodes, ..many() };
         let mut node = node(3, given, listed([0.5; 3]));
         node.ask(SECOND).1.iter().find_map(|action| match action {
             Action::Send { timeout, .. } => Some(*timeout),
@@ -237,7 +238,7 @@
         let mut node = node(seed, many(), listed([6.0; 3]));
         let (request, _) = node.ask(SECOND);
         node.now += 50 * MS;
-        node.settle_after(request, 0, Outcome::Served, 50 * MS, Report::default());
+        node.settle_after(request, 0, Outcome::Served, 50 * MS, LoadReport::default());
         node.now += 100 * MS;
         node.ask(SECOND);
         node.now += 200 * MS;
@@ -252,7 +253,7 @@
 fn a_flooding_tenant_is_turned_away_first() {
     // Five requests a second come to each node; three a second of tenant 0 are within its part.
     let quota = 3.0 * f64::from(NODES);
-    let given = Settings { tenants: vec![quota, quota], over_share_worth: 0.1, ..many() };
+    let given = Settings { tenant_quotas: vec![quota, quota], over_quota_value: 0.1, ..many() };
     let mut node = node(3, given, listed([9.0; 3]));
     let mut taken = [0, 0];
     let mut asked = [0, 0];
@@ -266,8 +267,8 @@
         let arrival = Arrival {
             request,
             class: ClassId(0),
-            hint: None,
-            repeat: false,
+            cost_hint: None,
+            is_retry: false,
             tenant: Some(tenant),
             not_after,
         };
@@ -276,7 +277,7 @@
         node.now += 50 * MS;
         if sent(&actions).is_some() {
             taken[tenant as usize] += 1;
-            node.settle_after(request, 0, Outcome::Served, 50 * MS, Report::default());
+            node.settle_after(request, 0, Outcome::Served, 50 * MS, LoadReport::default());
         }
         node.now += 50 * MS;
     }
@@ -287,7 +288,7 @@
 /// Incident i58b577: in a jam nearly nothing was served, so that new servers, the way out, got nearly nothing.
 #[test]
 fn a_jam_does_not_take_the_budget_of_new_servers() {
-    let given = Settings { nodes: 3, ..settings(Effect::Repeatable) };
+    let given = Settings { node_count: 3, ..settings(Idempotency::Idempotent) };
     let mut node = Node::new(given, (0..3).map(|b| member(b, 0)).collect());
     node.now += 60 * SECOND;
     node.serve(300, |_| util(0.5));
@@ -310,15 +311,15 @@
 /// 60 got three requests a second together, while the warm ones were overrun.
 #[test]
 fn a_cold_backend_is_used_where_no_load_is_reported() {
-    let given = Settings { nodes: 60, ..settings(Effect::Repeatable) };
+    let given = Settings { node_count: 60, ..settings(Idempotency::Idempotent) };
     let members: Vec<Member> = (0..30).map(|b| member(b, b / 10)).collect();
     let mut to_cold = 0;
     for seed in 0..20 {
         let mut node = Node::seeded(seed, given.clone(), members.clone());
-        node.serve(1000, |_| Report::default());
+        node.serve(1000, |_| LoadReport::default());
         let cold = Member { online_since: Some(node.now), ..member(3, 0) };
         node.list(ListScope::Changes, vec![cold]);
-        let used = node.serve(200, |_| Report::default());
+        let used = node.serve(200, |_| LoadReport::default());
         to_cold += used.iter().filter(|to| to.0 == 3).count();
     }
     // Each tenth of the zone serves 400 requests of these 20 nodes in 2 s; 15% to 23% of that, 76, are sure
@@ -330,7 +331,7 @@
 /// many seconds after a jam, of servers that answered at once, and one late answer in a calm second cost some.
 #[test]
 fn the_own_bound_lets_go_soon_after_a_jam() {
-    let given = Settings { nodes: 60, ..settings(Effect::Once) };
+    let given = Settings { node_count: 60, ..settings(Idempotency::NonIdempotent) };
     let mut node = Node::seeded(3, given, (0..30).map(|b| member(b, b / 10)).collect());
     // Sixteen requests a second: of a second's, how many are sent.
     let mut second = |outcome: fn(usize) -> Outcome| {
@@ -339,7 +340,7 @@
             node.pass(50 * MS);
             let to = sent(&actions);
             if to.is_some() {
-                node.settle_after(request, 0, outcome(turn), 50 * MS, Report::default());
+                node.settle_after(request, 0, outcome(turn), 50 * MS, LoadReport::default());
             }
             node.pass(10 * MS);
             to.is_some()
@@ -365,7 +366,7 @@
 /// jammed server jammed, while the others of their subset had room.
 #[test]
 fn a_backend_that_was_just_slow_is_left_alone_where_nodes_are_many() {
-    let given = Settings { nodes: 60, ..settings(Effect::Once) };
+    let given = Settings { node_count: 60, ..settings(Idempotency::NonIdempotent) };
     let mut node = Node::seeded(3, given, (0..30).map(|b| member(b, b / 10)).collect());
     let mut slow_one = None;
     let mut used = [0, 0];
@@ -378,7 +379,7 @@
         }
         let took = if slow_one == Some(to) { 400 * MS } else { 40 * MS };
         used[usize::from(slow_one == Some(to))] += usize::from(turn > 300);
-        node.settle_after(request, 0, Outcome::Served, took, Report::default());
+        node.settle_after(request, 0, Outcome::Served, took, LoadReport::default());
         node.pass(50 * MS);
     }
     // In 45 s one trial of each of these eight nodes in 2.4 s.
@@ -389,7 +390,7 @@
 /// Sends to the fifteen backends of a home zone in the 4 s after it has come back cold, by its thirty nodes of
 /// sixteen requests a second. A cold backend answers after `took`, all others after 40 ms.
 fn sent_to_a_cold_home(took: Nanos) -> usize {
-    let given = Settings { nodes: 60, zones: 2, ..settings(Effect::Once) };
+    let given = Settings { node_count: 60, zone_count: 2, ..settings(Idempotency::NonIdempotent) };
     let home = |since| (0..15).map(|b| Member { online_since: since, ..member(b, 0) }).collect::<Vec<_>>();
     let gone = || (0..15).map(|b| Member { stage: Stage::Gone, ..member(b, 0) }).collect::<Vec<_>>();
     let at_home = |to: BackendId| to.0 < 15;
@@ -399,7 +400,7 @@
             let to = sent(&actions)?;
             let took = if at_home(to) { took } else { 40 * MS };
             node.now += took;
-            node.settle_after(request, 0, Outcome::Served, took, Report::default());
+            node.settle_after(request, 0, Outcome::Served, took, LoadReport::default());
             Some(to)
         };
         let mut to_home = 0;
@@ -445,15 +446,15 @@
 /// took the room of first tries.
 #[test]
 fn a_further_try_past_its_aim_makes_room_for_first_tries_in_a_jam() {
-    let mut given = Settings { nodes: 60, ..settings(Effect::Once) };
-    given.classes[0].late_share = 0.2;
+    let mut given = Settings { node_count: 60, ..settings(Idempotency::NonIdempotent) };
+    given.classes[0].late_value_share = 0.2;
     let mut node = Node::seeded(3, given, (0..30).map(|b| member(b, b / 10)).collect());
     let taken = |node: &mut Node, wait: Nanos, outcome: Outcome| {
         let (request, actions) = node.ask(wait);
         node.pass(60 * MS);
         let to = sent(&actions);
         if to.is_some() {
-            node.settle_after(request, 0, outcome, 60 * MS, Report::default());
+            node.settle_after(request, 0, outcome, 60 * MS, LoadReport::default());
         }
         usize::from(to.is_some())
     };
@@ -476,8 +477,8 @@
 /// The own bound went by the client's time: a further try answered in 60 ms, but too late for it, closed it.
 #[test]
 fn what_a_client_has_no_time_left_for_is_no_sign_of_busy_servers() {
-    let mut given = Settings { nodes: 60, ..settings(Effect::Once) };
-    given.classes[0].late_share = 0.2;
+    let mut given = Settings { node_count: 60, ..settings(Idempotency::NonIdempotent) };
+    given.classes[0].late_value_share = 0.2;
     let mut node = Node::seeded(3, given, (0..30).map(|b| member(b, b / 10)).collect());
     let mut taken = 0;
     for turn in 0..160 {
@@ -487,7 +488,7 @@
         node.now += 60 * MS;
         if sent(&actions).is_some() {
             taken += usize::from(turn % 2 == 0);
-            node.settle_after(request, 0, Outcome::Served, 60 * MS, Report::default());
+            node.settle_after(request, 0, Outcome::Served, 60 * MS, LoadReport::default());
         }
     }
     assert!(taken >= 78, "{taken} of 80 first tries taken");
@@ -497,7 +498,7 @@
 /// off the next try, and a dead subset led on to the rest of its zone.
 #[test]
 fn a_silent_zone_is_left_for_another_one() {
-    let given = Settings { nodes: 40, zones: 2, ..settings(Effect::Once) };
+    let given = Settings { node_count: 40, zone_count: 2, ..settings(Idempotency::NonIdempotent) };
     let mut node = Node::seeded(3, given, (0..40).map(|b| member(b, b / 20)).collect());
     node.now += SECOND;
     let mut tried = std::collections::BTreeSet::new();
@@ -515,7 +516,7 @@
                 served += 1;
                 (Outcome::Served, 40 * MS)
             };
-            to = sent(&node.settle_after(request, attempt, outcome, took, Report::default()));
+            to = sent(&node.settle_after(request, attempt, outcome, took, LoadReport::default()));
             attempt += 1;
         }
     }
@@ -528,7 +529,8 @@
 #[test]
 fn arrivals_that_come_again_send_no_more_to_servers_that_do_not_answer() {
     let members: Vec<Member> = (0..30).map(|b| member(b, b / 10)).collect();
-    let mut node = Node::seeded(3, Settings { nodes: NODES, ..settings(Effect::Once) }, members);
+    let mut node =
+        Node::seeded(3, Settings { node_count: NODES, ..settings(Idempotency::NonIdempotent) }, members);
     node.now += 10 * SECOND;
     let answers: Vec<(bool, bool)> = (0..200)
         .map(|_| {
@@ -549,7 +551,7 @@
     let members: Vec<Member> = (0..31).map(|b| member(b, zone(b))).collect();
     let (mut home, mut away) = (0, 0);
     for seed in 0..50 {
-        let given = Settings { nodes: NODES, ..settings(Effect::Once) };
+        let given = Settings { node_count: NODES, ..settings(Idempotency::NonIdempotent) };
         let mut node = Node::seeded(seed, given, members.clone());
         node.now += 10 * SECOND;
         for _ in 0..4 {
@@ -570,7 +572,7 @@
     let mut to_cold = 0;
     for seed in 0..u64::from(NODES) {
         let home = ZoneId(seed as u32 % 3);
-        let given = Settings { home, nodes: NODES, ..settings(Effect::Once) };
+        let given = Settings { home_zone: home, node_count: NODES, ..settings(Idempotency::NonIdempotent) };
         let back = |b| Member { online_since: Some(50 * SECOND), ..member(b, 0) };
         let members = (0..30).map(|b| if b < 4 { back(b) } else { member(b, 1 + b % 2) }).collect();
         let mut node = Node::seeded(seed, given, members);
@@ -580,8 +582,13 @@
             let (request, actions) = node.ask(SECOND);
             let (mut to, mut attempt) = (sent(&actions), 0);
             while let Some(BackendId(4..)) = to {
-                to =
-                    sent(&node.settle_after(request, attempt, Outcome::ConnectFailed, MS, Report::default()));
+                to = sent(&node.settle_after(
+                    request,
+                    attempt,
+                    Outcome::ConnectFailed,
+                    MS,
+                    LoadReport::default(),
+                ));
                 attempt += 1;
             }
             to_cold += usize::from(to.is_some());
@@ -595,7 +602,7 @@
 /// room: a sixth of all was refused by servers that were half idle.
 #[test]
 fn a_window_leaves_room_for_requests_that_come_together() {
-    let given = Settings { nodes: NODES, ..settings(Effect::Once) };
+    let given = Settings { node_count: NODES, ..settings(Idempotency::NonIdempotent) };
     let mut node = Node::seeded(3, given, (0..10).map(|b| member(b, 0)).collect());
     node.now += 10 * SECOND;
     let mut singly = |outcome, count| {
@@ -603,7 +610,7 @@
             let (request, actions) = node.ask(SECOND);
             node.pass(50 * MS);
             if sent(&actions).is_some() {
-                node.settle_after(request, 0, outcome, 50 * MS, Report::default());
+                node.settle_after(request, 0, outcome, 50 * MS, LoadReport::default());
             }
             node.pass(50 * MS);
         }
--- a/tests/slow_start/fleet.rs
+++ b/tests/slow_start/fleet.rs
@@ -39,8 +39,8 @@
     pub reports: Option<f64>,
     /// How unevenly clients are spread over the nodes, 0 to 1; they move to other nodes every 2 s.
     pub skew: f64,
-    pub tip_multiple: f64,
-    pub start_capacity: f64,
+    pub overload_factor: f64,
+    pub initial_capacity: f64,
 }
 
 impl Default for Shape {
@@ -56,8 +56,8 @@
             notice: 3500 * MS,
             reports: None,
             skew: 0.5,
-            tip_multiple: 2.0,
-            start_capacity: 0.15,
+            overload_factor: 2.0,
+            initial_capacity: 0.15,
         }
     }
 }
@@ -78,8 +78,8 @@
             notice: random.below(4000) as Nanos * MS,
             reports: (random.below(2) == 0).then(|| random.between(0.0, 0.3)),
             skew: random.between(0.0, 1.0),
-            tip_multiple: random.between(1.5, 3.0),
-            start_capacity: random.between(0.1, 0.4),
+            overload_factor: random.between(1.5, 3.0),
+            initial_capacity: random.between(0.1, 0.4),
         }
     }
 }
@@ -176,7 +176,7 @@
 
 pub struct Fleet {
     shape: Shape,
-    rules: RuleFigures,
+    rules: RuleParameters,
     now: Nanos,
     order: u64,
     random: Random,
@@ -206,17 +206,17 @@
             .collect();
         let settings = |node: u32| {
             let class = ClassSettings {
-                aim: 300 * MS,
+                latency_target: 300 * MS,
                 deadline: DEADLINE,
-                effect: Effect::Keyed { group: Group::All, window: DEADLINE },
+                idempotency: Idempotency::Keyed { group: DedupGroup::All, window: DEADLINE },
                 ..ClassSettings::default()
             };
             let mut settings = Settings::new(ZoneId(node % shape.zones), shape.zones);
-            (settings.nodes, settings.classes) = (shape.nodes, vec![class]);
-            settings.rules.tip_multiple = shape.tip_multiple;
-            settings.rules.start_capacity = shape.start_capacity;
-            settings.rules.warm_after = 22 * SECOND;
-            settings.rules.fall_span = 1500 * MS;
+            (settings.node_count, settings.classes) = (shape.nodes, vec![class]);
+            settings.rules.overload_factor = shape.overload_factor;
+            settings.rules.initial_capacity = shape.initial_capacity;
+            settings.rules.slow_start_window = 22 * SECOND;
+            settings.rules.overload_window = 1500 * MS;
             settings
         };
         let nodes = (0..shape.nodes).map(|node| Node {
@@ -339,14 +339,14 @@
         let member = |(number, server): (usize, &Server)| Member {
             backend: BackendId(number as u32),
             zone: ZoneId(server.zone),
-            size: 1.0,
+            weight: 1.0,
             online_since: server.since,
             ..Member::default()
         };
         let listed = self.servers.iter().enumerate().filter(|(_, server)| server.listed);
         let members: Vec<Member> = listed.map(member).collect();
         for node in 0..self.nodes.len() {
-            self.tell(node, Event::Fleet { scope: ListScope::Full, members: members.clone() });
+            self.tell(node, Event::BackendList { scope: ListScope::Full, members: members.clone() });
         }
     }
 
@@ -359,7 +359,7 @@
         let pending = Pending { not_after, tries, attempts: Vec::new(), answered: false };
         self.nodes[node].pending.insert(request, pending);
         let arrival =
-            Arrival { request, class: ClassId(0), hint: None, repeat: false, tenant: None, not_after };
+            Arrival { request, class: ClassId(0), cost_hint: None, is_retry: false, tenant: None, not_after };
         self.tell(node, Event::Request(arrival));
     }
 
@@ -371,7 +371,7 @@
                 Action::Send { request, backend, timeout, .. } => {
                     self.send(node, request, backend.0 as usize, timeout);
                 }
-                Action::Refuse { request, .. } | Action::Fail { request } => self.refused(node, request),
+                Action::Reject { request, .. } | Action::Fail { request } => self.refused(node, request),
                 Action::Timer { after, token } => self.at(self.now + after, Happening::Timer { node, token }),
                 _ => {}
             }
@@ -420,8 +420,8 @@
 
     fn ramp(&self, number: usize) -> f64 {
         let Some(since) = self.servers[number].since else { return 1.0 };
-        let age = (self.now - since) as f64 / self.rules.warm_after as f64;
-        (self.rules.start_capacity + (1.0 - self.rules.start_capacity) * age).min(1.0)
+        let age = (self.now - since) as f64 / self.rules.slow_start_window as f64;
+        (self.rules.initial_capacity + (1.0 - self.rules.initial_capacity) * age).min(1.0)
     }
 
     fn count_cold(&mut self, number: usize) {
@@ -431,10 +431,11 @@
             return;
         }
         server.received.push_back(self.now);
-        while server.received.front().is_some_and(|&at| at + self.rules.fall_span < self.now) {
+        while server.received.front().is_some_and(|&at| at + self.rules.overload_window < self.now) {
             server.received.pop_front();
         }
-        let allowed = allowed(self.rules.tip_multiple * ramp * self.rules.fall_span as f64 / WORK as f64);
+        let allowed =
+            allowed(self.rules.overload_factor * ramp * self.rules.overload_window as f64 / WORK as f64);
         let sent = server.received.len();
         let over = sent as f64 - allowed;
         if over > 0.0 && self.worst.is_none_or(|worst| over > worst.sent as f64 - worst.allowed) {
@@ -451,21 +452,31 @@
         if pending.answered && pending.attempts.iter().all(Option::is_none) {
             self.nodes[node].pending.remove(&request);
         }
-        let report = if outcome == Served::Yes { self.report(server) } else { Report::default() };
+        let report = if outcome == Served::Yes { self.report(server) } else { LoadReport::default() };
         let outcome = outcome.outcome();
-        self.tell(node, Event::Settled(Settlement { request, attempt, outcome, elapsed, ended, report }));
+        self.tell(
+            node,
+            Event::AttemptEnded(AttemptResult {
+                request,
+                attempt,
+                outcome,
+                elapsed,
+                request_ended: ended,
+                report,
+            }),
+        );
     }
 
     /// A server's utilisation over the last half second or so, as its answers tell it.
-    fn report(&mut self, number: usize) -> Report {
-        let Some(error) = self.shape.reports else { return Report::default() };
+    fn report(&mut self, number: usize) -> LoadReport {
+        let Some(error) = self.shape.reports else { return LoadReport::default() };
         let noise = 1.0 + error * self.random.between(-1.0, 1.0);
         let server = &mut self.servers[number];
         let span = (self.now - server.used_at) as f64 / (500 * MS) as f64;
         let busy = if server.busy_until > self.now { 1.0 } else { 0.0 };
         server.used += (busy - server.used) * (1.0 - (-span).exp());
         server.used_at = self.now;
-        Report { util: Some((server.used * noise).clamp(0.0, 1.0)), ..Report::default() }
+        LoadReport { util: Some((server.used * noise).clamp(0.0, 1.0)), ..LoadReport::default() }
     }
 }
 
--- a/tests/slow_start/main.rs
+++ b/tests/slow_start/main.rs
@@ -19,15 +19,19 @@
 const DRAWN: u64 = 24;
 
 /// The budget that one of `nodes` nodes gives itself on a cold backend of zone 0, having served nothing yet.
-fn first_budget(rules: RuleFigures, nodes: u32, zones: u32, node: u32) -> f64 {
+fn first_budget(rules: RuleParameters, nodes: u32, zones: u32, node: u32) -> f64 {
     let home = ZoneId(node % zones);
-    let settings =
-        Settings { nodes, rules, classes: vec![ClassSettings::default()], ..Settings::new(home, zones) };
+    let settings = Settings {
+        node_count: nodes,
+        rules,
+        classes: vec![ClassSettings::default()],
+        ..Settings::new(home, zones)
+    };
     let mut balancer = Balancer::new(settings, u64::from(node), 0).expect("usable settings");
-    let cold = Member { online_since: Some(0), size: 1.0, ..Member::default() };
+    let cold = Member { online_since: Some(0), weight: 1.0, ..Member::default() };
     let mut actions = Vec::new();
     balancer.handle(0, Event::Start, &mut actions);
-    balancer.handle(0, Event::Fleet { scope: ListScope::Full, members: vec![cold] }, &mut actions);
+    balancer.handle(0, Event::BackendList { scope: ListScope::Full, members: vec![cold] }, &mut actions);
     for turn in 0..40 {
         let now = turn * SECOND / 10;
         let request = RequestId(turn);
@@ -35,8 +39,8 @@
         let arrival = Arrival {
             request,
             class: ClassId(0),
-            hint: Some(MEAN_WORK),
-            repeat: false,
+            cost_hint: Some(MEAN_WORK),
+            is_retry: false,
             tenant: None,
             not_after,
         };
@@ -44,7 +48,9 @@
         balancer.handle(now, Event::Timer { token: 0 }, &mut actions);
     }
     let budget = |action: &Action| match action {
-        Action::Log(Note::SlowStart(decision)) => Some(decision.budget / decision.ramp * MEAN_WORK as f64),
+        Action::Log(LogEvent::SlowStart(decision)) => {
+            Some(decision.budget / decision.ramp * MEAN_WORK as f64)
+        }
         _ => None,
     };
     actions.iter().filter_map(budget).fold(0.0, f64::max)
@@ -55,7 +61,7 @@
 #[test]
 fn the_budgets_of_all_nodes_add_up_to_what_a_cold_server_takes() {
     let rules = Settings::new(ZoneId(0), 1).rules;
-    let takes = rules.tip_multiple * rules.fall_span as f64;
+    let takes = rules.overload_factor * rules.overload_window as f64;
     for (nodes, zones) in [(32, 6), (12, 12), (1, 1), (2, 2), (5, 3), (16, 3), (90, 12), (20, 2), (300, 6)] {
         let sum: f64 = (0..nodes).map(|node| first_budget(rules, nodes, zones, node)).sum();
         assert!(sum <= takes, "{nodes} nodes in {zones} zones: {:.2} of what it takes", sum / takes);
--- a/tests/troubles.rs
+++ b/tests/troubles.rs
@@ -11,7 +11,7 @@
 /// Incident idbb93b: a server that sends work away in a millisecond drew nearly all sends.
 #[test]
 fn a_backend_that_sends_away_at_once_does_not_look_idle() {
-    let mut node = Node::new(settings(Effect::Repeatable), fleet(3));
+    let mut node = Node::new(settings(Idempotency::Idempotent), fleet(3));
     let mut away = 0;
     for _ in 0..200 {
         let (request, actions) = node.ask(SECOND);
@@ -30,7 +30,7 @@
 /// A backend that returns errors at once must lose its turn, then be tried and readmitted.
 #[test]
 fn a_backend_that_fails_fast_is_ejected_and_readmitted() {
-    let mut node = Node::new(settings(Effect::Repeatable), fleet(4));
+    let mut node = Node::new(settings(Idempotency::Idempotent), fleet(4));
     let run = |node: &mut Node, rounds: usize, broken: bool| {
         let mut bad = 0;
         for _ in 0..rounds {
@@ -55,7 +55,7 @@
 /// Incident idbb93b: with many nodes, one send of each to a backend that it holds nothing on is a jam.
 #[test]
 fn own_idleness_does_not_prove_room() {
-    let mut node = Node::new(settings(Effect::Repeatable), fleet(2));
+    let mut node = Node::new(settings(Idempotency::Idempotent), fleet(2));
     node.serve(100, |_| util(0.5));
     for _ in 0..40 {
         let (request, actions) = node.ask(SECOND);
@@ -71,9 +71,9 @@
 /// Incident if301ed: the class worth most, with the tightest aim, found all room taken by the others.
 #[test]
 fn the_worthier_class_has_precedence() {
-    let mut given = settings(Effect::Repeatable);
-    let wide = ClassSettings { aim: 800 * MS, ..class(800, 2000, Effect::Repeatable) };
-    given.classes = vec![wide, ClassSettings { worth: 5.0, ..class(500, 2000, Effect::Repeatable) }];
+    let mut given = settings(Idempotency::Idempotent);
+    let wide = ClassSettings { latency_target: 800 * MS, ..class(800, 2000, Idempotency::Idempotent) };
+    given.classes = vec![wide, ClassSettings { value: 5.0, ..class(500, 2000, Idempotency::Idempotent) }];
     let mut node = Node::new(given, fleet(2));
     let mut taken = [0, 0];
     let mut out = Vec::new();
@@ -83,8 +83,8 @@
         let arrival = Arrival {
             request: id,
             class,
-            hint: None,
-            repeat: false,
+            cost_hint: None,
+            is_retry: false,
             tenant: None,
             not_after: node.now + SECOND,
         };
@@ -113,13 +113,13 @@
 
 #[test]
 fn retries_stay_within_their_budget() {
-    let mut node = Node::new(settings(Effect::Repeatable), fleet(6));
+    let mut node = Node::new(settings(Idempotency::Idempotent), fleet(6));
     let mut extra = 0;
     for _ in 0..500 {
         let (request, actions) = node.ask(SECOND);
         let (mut to, mut attempt) = (sent(&actions), 0);
         while to.is_some() {
-            to = sent(&node.settle_after(request, attempt, Outcome::Error, 5 * MS, Report::default()));
+            to = sent(&node.settle_after(request, attempt, Outcome::Error, 5 * MS, LoadReport::default()));
             extra += usize::from(to.is_some());
             attempt += 1;
         }
@@ -130,14 +130,14 @@
 
 #[test]
 fn most_of_the_fleet_failing_does_not_empty_it() {
-    let mut node = Node::new(settings(Effect::Repeatable), fleet(6));
+    let mut node = Node::new(settings(Idempotency::Idempotent), fleet(6));
     let mut sent_late = 0;
     for turn in 0..300 {
         let (request, actions) = node.ask(SECOND);
         let (mut to, mut attempt) = (sent(&actions), 0);
         sent_late += usize::from(turn > 200 && to.is_some());
         while to.is_some() {
-            to = sent(&node.settle_after(request, attempt, Outcome::Reset, 5 * MS, Report::default()));
+            to = sent(&node.settle_after(request, attempt, Outcome::Reset, 5 * MS, LoadReport::default()));
             attempt += 1;
         }
         node.pass(20 * MS);
@@ -149,7 +149,7 @@
 #[test]
 fn nodes_that_share_a_zone_leave_room_for_each_other() {
     let taken = |nodes| {
-        let given = Settings { nodes, ..settings(Effect::Repeatable) };
+        let given = Settings { node_count: nodes, ..settings(Idempotency::Idempotent) };
         let mut node = Node::new(given, fleet(2));
         node.serve(200, |_| util(0.5));
         (0..60).filter(|_| sent(&node.ask(SECOND).1).is_some()).count()
@@ -161,21 +161,24 @@
 /// Incidents idbcff6 and i9be87d: a timer that always ran on every node cost more than all requests.
 #[test]
 fn a_node_with_nothing_held_asks_for_no_timer() {
-    let mut node = Node::new(settings(Effect::Repeatable), fleet(2));
+    let mut node = Node::new(settings(Idempotency::Idempotent), fleet(2));
     let (request, actions) = node.ask(SECOND);
     assert_eq!(sends(&actions).len(), 1);
     let timer = |actions: &[Action]| actions.iter().any(|action| matches!(action, Action::Timer { .. }));
     assert!(!timer(&actions) && !timer(&node.settle(request, 0, Outcome::Served, util(0.1))));
-    assert!(timer(&Node::new(settings(Effect::Repeatable), vec![]).ask(SECOND).1), "what is held needs one");
+    assert!(
+        timer(&Node::new(settings(Idempotency::Idempotent), vec![]).ask(SECOND).1),
+        "what is held needs one"
+    );
 }
 
 /// Guards against first tries of impatient clients taken for late repeats: a repeat may be given what is left
 /// of the client's time, which is more than its first try had.
 #[test]
 fn a_first_try_shorter_than_repeats_is_taken() {
-    let marked = |repeats_marked| Settings { repeats_marked, ..settings(Effect::Repeatable) };
-    for (repeats_marked, taken) in [(true, true), (false, false)] {
-        let mut node = Node::new(marked(repeats_marked), vec![member(1, 0)]);
+    let marked = |retries_marked| Settings { retries_marked, ..settings(Idempotency::Idempotent) };
+    for (retries_marked, taken) in [(true, true), (false, false)] {
+        let mut node = Node::new(marked(retries_marked), vec![member(1, 0)]);
         node.ask_again(950 * MS);
         let (_, actions) = node.ask(400 * MS);
         assert_eq!((sent(&actions).is_some(), refused(&actions)), (taken, !taken));
@@ -186,8 +189,8 @@
 /// idle servers look slow beside crowded ones, and requests were held and refused with servers idle.
 #[test]
 fn an_idle_backend_does_not_look_slow_beside_a_crowded_one() {
-    let mut given = settings(Effect::Repeatable);
-    given.classes = vec![class(190, 500, Effect::Repeatable)];
+    let mut given = settings(Idempotency::Idempotent);
+    given.classes = vec![class(190, 500, Idempotency::Idempotent)];
     let mut node = Node::new(given, vec![member(0, 0), member(1, 1), member(2, 1)]);
     let (mut asked, mut late) = (0, 0);
     for _ in 0..100 {
@@ -208,7 +211,7 @@
         let began = node.now;
         for (request, elapsed) in out {
             node.now = began + elapsed;
-            node.settle_after(request, 0, Outcome::Served, elapsed, Report::default());
+            node.settle_after(request, 0, Outcome::Served, elapsed, LoadReport::default());
         }
         node.pass(300 * MS);
     }
@@ -219,8 +222,8 @@
 /// every request refused, though they had long been free.
 #[test]
 fn a_backend_that_was_slow_is_tried_again_soon() {
-    let mut node = Node::new(settings(Effect::Repeatable), fleet(1));
-    node.serve(200, |_| Report::default());
+    let mut node = Node::new(settings(Idempotency::Idempotent), fleet(1));
+    node.serve(200, |_| LoadReport::default());
     let mut held = false;
     for _ in 0..100 {
         let (request, actions) = node.ask(SECOND);
@@ -229,7 +232,7 @@
             break;
         }
         node.now += 350 * MS;
-        node.settle_after(request, 0, Outcome::Served, 350 * MS, Report::default());
+        node.settle_after(request, 0, Outcome::Served, 350 * MS, LoadReport::default());
     }
     assert!(held, "slow servers take no more");
     assert_eq!(sent(&node.pass(200 * MS)), None, "not so soon");
@@ -240,9 +243,9 @@
 /// favour of a class that these could not serve in time at all.
 #[test]
 fn a_backend_of_no_use_to_the_worthier_class_is_not_kept_free_for_it() {
-    let mut given = settings(Effect::Repeatable);
-    let tight = ClassSettings { worth: 10.0, ..class(100, 1000, Effect::Repeatable) };
-    given.classes = vec![class(800, 1000, Effect::Repeatable), tight];
+    let mut given = settings(Idempotency::Idempotent);
+    let tight = ClassSettings { value: 10.0, ..class(100, 1000, Idempotency::Idempotent) };
+    given.classes = vec![class(800, 1000, Idempotency::Idempotent), tight];
     let mut node = Node::new(given, vec![member(0, 0), member(1, 1)]);
     let mut out: Vec<(Nanos, BackendId, RequestId)> = Vec::new();
     let mut most_far = 0;
@@ -254,14 +257,15 @@
             node.next += 1;
             let class = ClassId(u32::from(place == 1));
             let not_after = node.now + SECOND;
-            let arrival = Arrival { request, class, hint: None, repeat: false, tenant: None, not_after };
+            let arrival =
+                Arrival { request, class, cost_hint: None, is_retry: false, tenant: None, not_after };
             actions.extend(node.tell(Event::Request(arrival)));
         }
         let (due, rest) = out.into_iter().partition(|send| send.0 <= node.now);
         out = rest;
         for (_, to, request) in Vec::from_iter::<Vec<_>>(due) {
             let elapsed = if to == BackendId(0) { 30 * MS } else { 200 * MS };
-            actions.extend(node.settle_after(request, 0, Outcome::Served, elapsed, Report::default()));
+            actions.extend(node.settle_after(request, 0, Outcome::Served, elapsed, LoadReport::default()));
         }
         for action in actions {
             if let Action::Send { request, backend, .. } = action {
@@ -287,19 +291,21 @@
         };
         actions.iter().filter_map(send).collect()
     };
-    let keyed = |window| Effect::Keyed { group: Group::Cell, window };
+    let keyed = |window| Idempotency::Keyed { group: DedupGroup::Cell, window };
     // Given up as its window ends it could not be repeated either.
-    for (effect, repeats) in [(keyed(2 * SECOND), true), (keyed(220 * MS), false), (Effect::Once, false)] {
-        let mut node = Node::new(settings(effect), fleet(2));
-        node.serve(100, |_| Report::default());
+    for (idempotency, repeats) in
+        [(keyed(2 * SECOND), true), (keyed(220 * MS), false), (Idempotency::NonIdempotent, false)]
+    {
+        let mut node = Node::new(settings(idempotency), fleet(2));
+        node.serve(100, |_| LoadReport::default());
         let (request, actions) = node.ask(SECOND);
         let [(first, timeout)] = timeouts(&actions)[..] else { panic!("one send: {actions:?}") };
-        assert_eq!(timeout.is_some(), repeats, "{effect:?}: {timeout:?}");
+        assert_eq!(timeout.is_some(), repeats, "{idempotency:?}: {timeout:?}");
         let Some(timeout) = timeout else { continue };
         // Not for what is merely slow, nor so late that the other server's answer would be.
         assert!((100 * MS..=250 * MS).contains(&timeout), "{timeout}");
         node.now += timeout;
-        let again = node.settle_after(request, 0, Outcome::TimedOut, timeout, Report::default());
+        let again = node.settle_after(request, 0, Outcome::TimedOut, timeout, LoadReport::default());
         let [(second, _)] = timeouts(&again)[..] else { panic!("one more send: {again:?}") };
         assert_ne!(first, second);
     }
--- a/wirehost/src/main.rs
+++ b/wirehost/src/main.rs
@@ -9,8 +9,8 @@
 use std::process::ExitCode;
 
 use brookfield::{
-    Action, Arrival, BackendId, Balancer, ClassId, Event, ListScope, Member, Nanos, Note, RequestId,
-    Settlement,
+    Action, Arrival, AttemptResult, BackendId, Balancer, ClassId, Event, ListScope, LogEvent, Member, Nanos,
+    RequestId,
 };
 use brookfield_settings::{Fields, Words};
 use serde_json::{Value, json};
@@ -53,7 +53,7 @@
                 kind: self.words.kind(&entry.kind),
                 cell: entry.cell,
                 stage: entry.stage,
-                size: entry.size,
+                weight: entry.size,
                 online_since: entry.online_since,
             })
             .collect()
@@ -116,7 +116,7 @@
                     "backend": backend(instance, to), "max-wait-ns": timeout.unwrap_or(0)});
                 ("PLACE", body)
             }
-            Action::Refuse { request, pause } => {
+            Action::Reject { request, retry_after: pause } => {
                 let body = json!({"who": who, "request-id": name(instance, request), "pause-ns": pause});
                 instance.update(request, |held| held.ended = true);
                 ("DECLINE", body)
@@ -136,7 +136,7 @@
                 ("DEFER", json!({"who": who, "from-now-ns": after, "name": token}))
             }
             // One of these goes with every attempt to a cold backend: they are for a log with a filter.
-            Action::Log(Note::SlowStart(_)) => return,
+            Action::Log(LogEvent::SlowStart(_)) => return,
             Action::Log(note) => ("REMARK", json!({"who": who, "note-text": note.to_string()})),
         };
         self.write(tag, body);
@@ -208,11 +208,11 @@
                     _ => return Err(fields.wrong("mode")),
                 };
                 match scope {
-                    None => Event::FleetFailed,
+                    None => Event::DiscoveryFailed,
                     Some(scope) => {
                         let list = fields.integer("list")?;
                         let entries = self.manifests.get(&list).ok_or_else(|| fields.wrong("list"))?;
-                        Event::Fleet { scope, members: instance.members(entries) }
+                        Event::BackendList { scope, members: instance.members(entries) }
                     }
                 }
             }
@@ -225,8 +225,8 @@
                 Event::Request(Arrival {
                     request: instance.request(name),
                     class: ClassId(class),
-                    hint: (options & 1 != 0).then_some(hint),
-                    repeat: options & 2 != 0,
+                    cost_hint: (options & 1 != 0).then_some(hint),
+                    is_retry: options & 2 != 0,
                     tenant: instance.words.tenant(fields.map.get("org").and_then(Value::as_str)),
                     not_after,
                 })
@@ -239,7 +239,14 @@
                     return Ok(());
                 };
                 let (outcome, elapsed, report) = settlement;
-                let event = Event::Settled(Settlement { request, attempt, outcome, elapsed, ended, report });
+                let event = Event::AttemptEnded(AttemptResult {
+                    request,
+                    attempt,
+                    outcome,
+                    elapsed,
+                    request_ended: ended,
+                    report,
+                });
                 // The module answers first: until it has, it may still name this request.
                 self.handle(who, event);
                 if let Some(instance) = self.instances.get_mut(&who) {
@@ -255,9 +262,9 @@
                     return Ok(());
                 };
                 if tag == "ACK_FIRST" {
-                    Event::Started { request }
+                    Event::ResponseStarted { request }
                 } else {
-                    self.handle(who, Event::ClientGone { request });
+                    self.handle(who, Event::ClientDisconnected { request });
                     if let Some(instance) = self.instances.get_mut(&who) {
                         instance.update(request, |held| held.ended = true);
                     }
@@ -267,7 +274,7 @@
             "STATUS_BACK" => {
                 let backend = instance.backend(fields.text("backend")?);
                 let elapsed = fields.whole("elapsed-ns")?;
-                Event::Probed {
+                Event::ProbeEnded {
                     backend,
                     outcome: wire::outcome(fields)?,
                     elapsed,
--- a/wirehost/src/wire.rs
+++ b/wirehost/src/wire.rs
@@ -1,6 +1,6 @@
 //! The wire's lines, read with plain errors.
 
-use brookfield::{Nanos, Outcome, Report, Stage};
+use brookfield::{LoadReport, Nanos, Outcome, Stage};
 use brookfield_settings::Fields;
 use serde_json::Value;
 
@@ -36,13 +36,13 @@
 }
 
 /// The load report that a message carries, if any.
-pub fn report(fields: &Fields) -> Result<Report, String> {
+pub fn report(fields: &Fields) -> Result<LoadReport, String> {
     let Some(usage) = fields.map.get("usage").filter(|usage| !usage.is_null()) else {
-        return Ok(Report::default());
+        return Ok(LoadReport::default());
     };
     let usage = usage.as_object().ok_or_else(|| fields.wrong("usage"))?;
     let figure = |name: &str| usage.get(name).and_then(Value::as_f64);
-    Ok(Report { util: figure("load_share"), rate: figure("tps"), in_flight: figure("concurrent") })
+    Ok(LoadReport { util: figure("load_share"), rate: figure("tps"), in_flight: figure("concurrent") })
 }
 
 /// An entry of a list, still in the wire's words.
