--- a/cli/src/registry.rs
+++ b/cli/src/registry.rs
@@ -6,8 +6,8 @@
 
 use clap::{Args, Subcommand, ValueEnum};
 use flaxdale_fleet::file::Fleet;
-use flaxdale_fleet::follow::PATH;
-use flaxdale_fleet::tether;
+use flaxdale_fleet::parent_process;
+use flaxdale_fleet::watch::PATH;
 use flaxdale_registry::client::{Client, ClientError};
 use flaxdale_registry::list::MOST_PART;
 use flaxdale_registry::serve::{ServeError, serve};
@@ -388,7 +388,7 @@
             complain("signals can't be heeded");
             return Exit::Machine;
         };
-        tether::heed();
+        parent_process::heed();
         let serving = match serve(settings).await {
             Ok(serving) => serving,
             Err(error) => {
--- a/cli/tests/registry/main.rs
+++ b/cli/tests/registry/main.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use flaxdale_fleet::follow::Rules;
+use flaxdale_fleet::watch::Rules;
 use flaxdale_registry::client::ClientError;
 use flaxdale_registry::wire::Listing;
 use rustix::process::Signal;
--- a/cli/tests/registry/site.rs
+++ b/cli/tests/registry/site.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use flaxdale_fleet::call::{Call, Link};
-use flaxdale_fleet::follow::{Follower, Head, Rules, Take};
+use flaxdale_fleet::watch::{Follower, Head, Rules, Take};
 use flaxdale_registry::client::{Client, ClientError};
 use flaxdale_registry::list::State;
 use flaxdale_registry::wire::{Listing, Target};
--- a/fleet/src/call.rs
+++ b/fleet/src/call.rs
@@ -13,7 +13,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use crate::follow::AGE;
+use crate::watch::AGE;
 
 /// A connection that is not up by then does not come up.
 const CONNECT: Duration = Duration::from_millis(500);
--- a/node/src/discovery/mod.rs
+++ b/node/src/discovery/mod.rs
@@ -7,7 +7,7 @@
 
 use brookfield::{ListScope, Stage};
 use bytes::Bytes;
-use flaxdale_fleet::follow::PATH;
+use flaxdale_fleet::watch::PATH;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::client::conn::http1::{SendRequest, handshake};
 use hyper::header::HOST;
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -19,7 +19,7 @@
 use std::time::Duration;
 
 use flaxdale_fleet::file::Fleet;
-use flaxdale_fleet::tether;
+use flaxdale_fleet::parent_process;
 use serde::Deserialize;
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -123,7 +123,7 @@
 
 async fn serve(config: Config, log: Arc<log::Bound>) -> Result<(), StartError> {
     spawn_local(log.report());
-    tether::heed();
+    parent_process::heed();
     let site = brookfield_settings::read(&config.settings).map_err(StartError::Settings)?;
     let seed = u64::from_str_radix(&config.seed, 16).map_err(|_| StartError::Seed(config.seed.clone()))?;
     let (clients, backends) = shares(config.limits.sockets)?;
--- a/node/src/registry.rs
+++ b/node/src/registry.rs
@@ -6,7 +6,7 @@
 
 use brookfield::ListScope;
 use flaxdale_fleet::call::{Call, CallError, Link};
-use flaxdale_fleet::follow::{Ask, Follower, Head, Rules, Take};
+use flaxdale_fleet::watch::{Ask, Follower, Head, Rules, Take};
 use hyper::StatusCode;
 use hyper::header::RETRY_AFTER;
 use rand::RngExt;
--- a/registry/src/http.rs
+++ b/registry/src/http.rs
@@ -11,7 +11,7 @@
 use axum::middleware::{Next, from_fn_with_state};
 use axum::response::{IntoResponse, Response};
 use axum::routing::{get, post};
-use flaxdale_fleet::follow::{AGE, PATH};
+use flaxdale_fleet::watch::{AGE, PATH};
 use openraft::Snapshot;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
--- a/registry/src/serve.rs
+++ b/registry/src/serve.rs
@@ -12,7 +12,7 @@
 use axum::Router;
 use axum::body::Body;
 use axum::response::Response;
-use flaxdale_fleet::follow::PATH;
+use flaxdale_fleet::watch::PATH;
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
 use hyper::service::Service;
--- a/rig/src/agents.rs
+++ b/rig/src/agents.rs
@@ -8,7 +8,7 @@
 
 use brookfield::{Member, Nanos, Stage};
 use bytes::Bytes;
-use flaxdale_fleet::follow::PATH;
+use flaxdale_fleet::watch::PATH;
 use flaxdale_model::timeline::{Change, Timeline};
 use flaxdale_model::world::{Act, World, stream};
 use http_body_util::Full;
--- a/rig/src/nodes.rs
+++ b/rig/src/nodes.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use flaxdale_fleet::tether;
+use flaxdale_fleet::parent_process;
 use rustix::process::Signal;
 use serde_json::{Value, json};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -174,7 +174,7 @@
             // Whatever else is filtered out, the line that tells its address is not.
             .env("EDGE_LOG", format!("{},badgerpost::started=info", self.program.filter))
             .env("EDGE_LOG_FORMAT", "json")
-            .env(tether::VARIABLE, "stdin")
+            .env(parent_process::VARIABLE, "stdin")
             .stdin(Stdio::piped())
             .stdout(log)
             .stderr(errors)
--- a/rig/src/replicas.rs
+++ b/rig/src/replicas.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use flaxdale_fleet::call::{Call, Link};
-use flaxdale_fleet::tether;
+use flaxdale_fleet::parent_process;
 use flaxdale_model::plan::Registry;
 use flaxdale_model::timeline::replica as end_of;
 use rustix::process::Signal;
@@ -97,7 +97,7 @@
             .arg(&one.config)
             .env("EDGE_LOG", "info,openraft=error")
             .env("EDGE_LOG_FORMAT", "json")
-            .env(tether::VARIABLE, "stdin")
+            .env(parent_process::VARIABLE, "stdin")
             .stdin(Stdio::piped())
             .stdout(Stdio::null())
             .stderr(log)
--- a/rig/src/watchers.rs
+++ b/rig/src/watchers.rs
@@ -8,7 +8,7 @@
 
 use brookfield::Nanos;
 use flaxdale_fleet::call::{Call, Link};
-use flaxdale_fleet::follow::{Follower, Head, PATH, Rules, Take};
+use flaxdale_fleet::watch::{Follower, Head, PATH, Rules, Take};
 use flaxdale_model::ledger::Rule;
 use hyper::StatusCode;
 use serde::Deserialize;
