--- a/cli/src/registry.rs
+++ b/cli/src/registry.rs
@@ -7,7 +7,7 @@
 use clap::{Args, Subcommand, ValueEnum};
 use flaxdale_fleet::file::Fleet;
 use flaxdale_fleet::parent_process;
-use flaxdale_fleet::watch::PATH;
+use flaxdale_fleet::watch::INSTANCES_PATH;
 use flaxdale_registry::client::{Client, ClientError};
 use flaxdale_registry::list::MOST_PART;
 use flaxdale_registry::serve::{ServeError, serve};
@@ -193,7 +193,7 @@
                 Ok(if json { format!("{status:#}") } else { told(&status) })
             }
             Self::List { at, json } => {
-                let list: Listing = at.client()?.get(PATH).await?;
+                let list: Listing = at.client()?.get(INSTANCES_PATH).await?;
                 if json {
                     return Ok(serde_json::to_string_pretty(&list).unwrap_or_default());
                 }
@@ -256,7 +256,7 @@
 async fn change(at: At, path: &str, uid: &str, what: &str) -> Result<String, Failed> {
     let mut client = at.client()?;
     // The life that stands on the list now is the one that is meant.
-    let list: Listing = client.get(PATH).await?;
+    let list: Listing = client.get(INSTANCES_PATH).await?;
     let one = list.targets.into_iter().find(|one| one.uid == uid);
     let one =
         one.ok_or_else(|| ClientError::Refused { status: 404, text: format!("{uid} is not on the list") })?;
@@ -388,7 +388,7 @@
             complain("signals can't be heeded");
             return Exit::Machine;
         };
-        parent_process::heed();
+        parent_process::exit_with_parent();
         let serving = match serve(settings).await {
             Ok(serving) => serving,
             Err(error) => {
--- a/cli/tests/registry/history.rs
+++ b/cli/tests/registry/history.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use crate::site::{Site, instance};
-use flaxdale_fleet::call::{Call, Link};
+use flaxdale_fleet::call::{Call, HttpClient};
 use flaxdale_registry::wire::Listing;
 use proptest::prelude::*;
 use rustix::process::Signal;
@@ -118,7 +118,7 @@
 
 /// Reads all registers at one replica until told to stop.
 fn read(site: &Site, at: usize, began: Instant, stop: Arc<AtomicBool>) -> JoinHandle<Vec<[Done; 3]>> {
-    let mut link = Link::to(site.replicas[at].client);
+    let mut link = HttpClient::new(site.replicas[at].client);
     let now = move || began.elapsed().as_micros() as u64;
     tokio::spawn(async move {
         let mut history = Vec::new();
--- a/cli/tests/registry/main.rs
+++ b/cli/tests/registry/main.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use flaxdale_fleet::watch::Rules;
+use flaxdale_fleet::watch::WatchPolicy;
 use flaxdale_registry::client::ClientError;
 use flaxdale_registry::wire::Listing;
 use rustix::process::Signal;
@@ -18,7 +18,7 @@
 const LONG: &str = "lease_ms = 600000";
 
 fn watch_all(site: &Site) -> Vec<Watcher> {
-    let quick = Rules { hold: Duration::from_millis(500), ..Rules::default() };
+    let quick = WatchPolicy { hold: Duration::from_millis(500), ..WatchPolicy::default() };
     let addresses: Vec<_> = site.replicas.iter().map(|one| one.client).collect();
     let turned = |by: usize| addresses.iter().cycle().skip(by).take(addresses.len()).copied().collect();
     (0..addresses.len()).map(|by| Watcher::of(turned(by), quick)).collect()
@@ -302,8 +302,11 @@
     let file = file.to_str().expect("a name");
     assert!(flaxdale(&site, &["backup", file]).0);
     site.register("new", 1).await;
-    let quick =
-        Rules { hold: Duration::from_millis(300), settle: Duration::from_secs(4), ..Rules::default() };
+    let quick = WatchPolicy {
+        hold: Duration::from_millis(300),
+        incarnation_grace: Duration::from_secs(4),
+        ..WatchPolicy::default()
+    };
     let addresses: Vec<_> = site.replicas.iter().map(|one| one.client).collect();
     let watcher = Watcher::of(addresses, quick);
     let before = site.settled().await;
@@ -448,11 +451,11 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn rubbish_in_every_call_is_refused_with_its_reason_and_changes_nothing() {
-    use flaxdale_fleet::call::{Call, Link};
+    use flaxdale_fleet::call::{Call, HttpClient};
     let site = Site::start(1, LONG).await;
     site.register("s0", 7).await;
     let before = site.settled().await;
-    let mut link = Link::to(site.replicas[0].client);
+    let mut link = HttpClient::new(site.replicas[0].client);
     let long = "x".repeat(1000);
     let rubbish = [
         String::new(),
@@ -490,12 +493,12 @@
     let answer = link.call(&large).await;
     assert!(answer.is_err() || answer.is_ok_and(|answer| answer.status == 413), "too large a call");
     for (path, status) in [("/registry/nothing", 404), ("/registry/register", 405)] {
-        let mut link = Link::to(site.replicas[0].client);
+        let mut link = HttpClient::new(site.replicas[0].client);
         let answer = link.call(&Call::get(path, site::PATIENCE, 1 << 20)).await.expect("an answer");
         assert_eq!(answer.status, status, "{path}");
     }
     // Another fleet's replica, and one that is meant for another one, at the door of the replicas.
-    let mut peer = Link::to(site.replicas[0].peer);
+    let mut peer = HttpClient::new(site.replicas[0].peer);
     for headers in [vec![], vec![("x-registry-fleet", "other".to_owned())]] {
         let call =
             Call { headers, ..Call::post("/peer/do", b"\"confirm\"".to_vec(), site::PATIENCE, 1 << 20) };
@@ -521,7 +524,8 @@
     assert_eq!(list.targets.len(), 5000);
     let addresses: Vec<_> = site.replicas.iter().map(|one| one.client).collect();
     let turned = |by: usize| addresses.iter().cycle().skip(by).take(3).copied().collect();
-    let watchers: Vec<Watcher> = (0..300).map(|by| Watcher::of(turned(by % 3), Rules::default())).collect();
+    let watchers: Vec<Watcher> =
+        (0..300).map(|by| Watcher::of(turned(by % 3), WatchPolicy::default())).collect();
     until("all of them wait for news", async || {
         let mut waiting = 0;
         for at in 0..3 {
@@ -566,8 +570,8 @@
 }
 
 async fn metrics(site: &Site, at: usize) -> String {
-    use flaxdale_fleet::call::{Call, Link};
+    use flaxdale_fleet::call::{Call, HttpClient};
     let answer =
-        Link::to(site.replicas[at].client).call(&Call::get("/metrics", site::PATIENCE, 1 << 20)).await;
+        HttpClient::new(site.replicas[at].client).call(&Call::get("/metrics", site::PATIENCE, 1 << 20)).await;
     String::from_utf8_lossy(&answer.expect("an answer").body).into_owned()
 }
--- a/cli/tests/registry/site.rs
+++ b/cli/tests/registry/site.rs
@@ -9,8 +9,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use flaxdale_fleet::call::{Call, Link};
-use flaxdale_fleet::watch::{Follower, Head, Rules, Take};
+use flaxdale_fleet::call::{Call, HttpClient};
+use flaxdale_fleet::watch::{ListHeader, ListUpdate, WatchClient, WatchPolicy};
 use flaxdale_registry::client::{Client, ClientError};
 use flaxdale_registry::list::State;
 use flaxdale_registry::wire::{Listing, Target};
@@ -306,37 +306,37 @@
 
 impl Watcher {
     /// Watches these replicas, starting with the first.
-    pub fn of(addresses: Vec<SocketAddr>, rules: Rules) -> Self {
+    pub fn of(addresses: Vec<SocketAddr>, rules: WatchPolicy) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let stopped = stop.clone();
         let task = tokio::spawn(async move {
-            let mut links: Vec<Link> = addresses.iter().map(|at| Link::to(*at)).collect();
-            let mut follower = Follower::new(rules, links.len(), 0.0);
+            let mut links: Vec<HttpClient> = addresses.iter().map(|at| HttpClient::new(*at)).collect();
+            let mut follower = WatchClient::new(rules, links.len(), 0.0);
             let (began, mut seen) = (Instant::now(), Seen::default());
             let mut last = began;
             while !stopped.load(Ordering::Relaxed) {
-                let (at, ask) = follower.next(began.elapsed());
+                let (at, ask) = follower.next_request(began.elapsed());
                 tokio::time::sleep_until(began + at).await;
                 let asked = began.elapsed();
-                let call = Call::get(ask.target(), ask.hold + Duration::from_secs(2), 64 << 20);
+                let call = Call::get(ask.path_and_query(), ask.hold + Duration::from_secs(2), 64 << 20);
                 let answer = links[ask.replica].call(&call).await;
                 let answer = answer.ok().filter(|answer| answer.status.is_success());
                 let Some(answer) = answer else {
-                    follower.failed(began.elapsed(), None, 0.5);
+                    follower.on_failure(began.elapsed(), None, 0.5);
                     continue;
                 };
                 let list: Listing = serde_json::from_slice(&answer.body).expect("a list");
-                let head = Head {
+                let head = ListHeader {
                     incarnation: list.incarnation,
                     rev: list.rev,
-                    all: list.all,
+                    full: list.all,
                     age: answer.list_age(),
                 };
                 // What a replica tells on its own account: a client that asks with what it has seen is told nothing older.
                 if ask.seen.is_some_and(|rev| list.rev < rev) {
                     seen.backwards.push((seen.rev, list.rev));
                 }
-                let take = follower.answered(asked, began.elapsed(), head);
+                let take = follower.on_response(asked, began.elapsed(), head);
                 seen.take(take, list);
                 seen.silent = seen.silent.max(last.elapsed());
                 last = Instant::now();
@@ -361,11 +361,11 @@
 }
 
 impl Seen {
-    fn take(&mut self, take: Take, list: Listing) {
-        if take == Take::Nothing {
+    fn take(&mut self, take: ListUpdate, list: Listing) {
+        if take == ListUpdate::Ignore {
             return;
         }
-        if take == Take::Whole {
+        if take == ListUpdate::Full {
             let stays = |uid: &String| list.targets.iter().any(|one| one.uid == *uid);
             let gone: Vec<String> = self.list.keys().filter(|uid| !stays(uid)).cloned().collect();
             self.gone.extend(gone);
--- a/fleet/src/call.rs
+++ b/fleet/src/call.rs
@@ -13,10 +13,10 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use crate::watch::AGE;
+use crate::watch::LIST_AGE_HEADER;
 
 /// A connection that is not up by then does not come up.
-const CONNECT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Why a call brought no answer.
 #[derive(Debug, thiserror::Error)]
@@ -26,13 +26,13 @@
     Connect(std::io::Error),
     /// It broke; it may have been carried out.
     #[error("the call broke: {0}")]
-    Broken(#[from] hyper::Error),
+    Http(#[from] hyper::Error),
     /// Its answer broke, or was too long.
     #[error("the answer broke or was too long: {0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
     /// No answer in time; it may have been carried out.
     #[error("no answer in time")]
-    Late,
+    Timeout,
     /// What was asked can't be asked.
     #[error("no such request: {0}")]
     Request(#[from] hyper::http::Error),
@@ -44,30 +44,41 @@
     /// GET where there is no body, else POST.
     pub body: Option<Bytes>,
     /// Path and query.
-    pub target: String,
+    pub path_and_query: String,
     /// Further headers.
     pub headers: Vec<(&'static str, String)>,
     /// It takes no longer.
-    pub patience: Duration,
+    pub timeout: Duration,
     /// Bytes that the answer may have.
-    pub most: usize,
+    pub max_response_bytes: usize,
 }
 
 impl Call {
     /// A GET.
-    pub fn get(target: impl Into<String>, patience: Duration, most: usize) -> Self {
-        Self { body: None, target: target.into(), headers: Vec::new(), patience, most }
+    pub fn get(path_and_query: impl Into<String>, timeout: Duration, max_response_bytes: usize) -> Self {
+        Self {
+            body: None,
+            path_and_query: path_and_query.into(),
+            headers: Vec::new(),
+            timeout,
+            max_response_bytes,
+        }
     }
 
     /// A POST.
-    pub fn post(target: impl Into<String>, body: Vec<u8>, patience: Duration, most: usize) -> Self {
-        Self { body: Some(body.into()), ..Self::get(target, patience, most) }
+    pub fn post(
+        path_and_query: impl Into<String>,
+        body: Vec<u8>,
+        timeout: Duration,
+        max_response_bytes: usize,
+    ) -> Self {
+        Self { body: Some(body.into()), ..Self::get(path_and_query, timeout, max_response_bytes) }
     }
 }
 
 /// What came back.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct Response {
     /// Its status.
     pub status: StatusCode,
     /// Its headers.
@@ -76,7 +87,7 @@
     pub body: Bytes,
 }
 
-impl Answer {
+impl Response {
     /// A header's text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
@@ -84,75 +95,78 @@
 
     /// How old its list may be at most; none if the replica can't tell.
     pub fn list_age(&self) -> Option<Duration> {
-        self.header(AGE)?.parse().ok().map(Duration::from_millis)
+        self.header(LIST_AGE_HEADER)?.parse().ok().map(Duration::from_millis)
     }
 }
 
 /// Where calls go, with the connection that is open to there.
-pub struct Link {
-    at: SocketAddr,
-    open: Option<SendRequest<Full<Bytes>>>,
+pub struct HttpClient {
+    address: SocketAddr,
+    sender: Option<SendRequest<Full<Bytes>>>,
 }
 
-impl Link {
+impl HttpClient {
     /// No connection yet.
-    pub fn to(at: SocketAddr) -> Self {
-        Self { at, open: None }
+    pub fn new(address: SocketAddr) -> Self {
+        Self { address, sender: None }
     }
 
     /// Where calls go.
-    pub fn at(&self) -> SocketAddr {
-        self.at
+    pub fn address(&self) -> SocketAddr {
+        self.address
     }
 
     /// Makes a call. It goes out at most once: a connection that had been closed meanwhile is noticed before.
-    pub async fn call(&mut self, call: &Call) -> Result<Answer, CallError> {
+    pub async fn call(&mut self, call: &Call) -> Result<Response, CallError> {
         // Taken, so that it goes with a call that is dropped half way.
-        let open = self.open.take().filter(|open| !open.is_closed());
-        let (open, answer) =
-            timeout(call.patience, self.carry(open, call)).await.map_err(|_| CallError::Late)??;
-        self.open = Some(open);
+        let sender = self.sender.take().filter(|sender| !sender.is_closed());
+        let (sender, answer) =
+            timeout(call.timeout, self.exchange(sender, call)).await.map_err(|_| CallError::Timeout)??;
+        self.sender = Some(sender);
         Ok(answer)
     }
 
-    async fn carry(
+    async fn exchange(
         &self,
-        open: Option<SendRequest<Full<Bytes>>>,
+        sender: Option<SendRequest<Full<Bytes>>>,
         call: &Call,
-    ) -> Result<(SendRequest<Full<Bytes>>, Answer), CallError> {
-        let kept = match open {
+    ) -> Result<(SendRequest<Full<Bytes>>, Response), CallError> {
+        let kept = match sender {
             Some(mut kept) => kept.ready().await.is_ok().then_some(kept),
             None => None,
         };
-        let mut open = match kept {
+        let mut sender = match kept {
             Some(kept) => kept,
             None => self.connect().await?,
         };
-        open.ready().await?;
+        sender.ready().await?;
         let method = if call.body.is_some() { Method::POST } else { Method::GET };
-        let mut request =
-            Request::builder().method(method).uri(call.target.as_str()).header(HOST, self.at.to_string());
+        let mut request = Request::builder()
+            .method(method)
+            .uri(call.path_and_query.as_str())
+            .header(HOST, self.address.to_string());
         for (name, value) in &call.headers {
             request = request.header(*name, value);
         }
         let request = request.body(Full::new(call.body.clone().unwrap_or_default()))?;
-        let (head, body) = open.send_request(request).await?.into_parts();
-        let body = Limited::new(body, call.most).collect().await.map_err(CallError::Body)?.to_bytes();
-        Ok((open, Answer { status: head.status, headers: head.headers, body }))
+        let (head, body) = sender.send_request(request).await?.into_parts();
+        let body =
+            Limited::new(body, call.max_response_bytes).collect().await.map_err(CallError::Body)?.to_bytes();
+        Ok((sender, Response { status: head.status, headers: head.headers, body }))
     }
 
     async fn connect(&self) -> Result<SendRequest<Full<Bytes>>, CallError> {
-        let late = |_| CallError::Connect(std::io::ErrorKind::TimedOut.into());
-        let stream = timeout(CONNECT, TcpStream::connect(self.at)).await.map_err(late)?;
+        let timed_out = |_| CallError::Connect(std::io::ErrorKind::TimedOut.into());
+        let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.address)).await.map_err(timed_out)?;
         let stream = stream.map_err(CallError::Connect)?;
         // Some systems refuse the option on a connection that has just gone; the call will show it.
         let _ = stream.set_nodelay(true);
-        let (open, connection) = handshake(TokioIo::new(stream)).await?;
+        let (sender, connection) = handshake(TokioIo::new(stream)).await?;
         tokio::spawn(async move {
             if let Err(error) = connection.await {
                 tracing::debug!(cause = %error, "the connection broke");
             }
         });
-        Ok(open)
+        Ok(sender)
     }
 }
--- a/fleet/src/file.rs
+++ b/fleet/src/file.rs
@@ -10,13 +10,13 @@
 use toml::de::{DeTable, DeValue};
 
 /// A file larger than this is none.
-const MOST_BYTES: u64 = 1024 * 1024;
+const MAX_FILE_BYTES: u64 = 1024 * 1024;
 /// Zones, and bytes of a name, at most.
-pub const MOST_ZONES: usize = 64;
-/// See [`MOST_ZONES`].
-pub const MOST_NAME: usize = 128;
+pub const MAX_ZONES: usize = 64;
+/// See [`MAX_ZONES`].
+pub const MAX_NAME_BYTES: usize = 128;
 /// Replicas of one registry at most.
-pub const MOST_REPLICAS: usize = 9;
+pub const MAX_REPLICAS: usize = 9;
 
 /// What a process is told of its fleet.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
@@ -76,7 +76,7 @@
 
 /// What makes no sense in a file, by its key.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Problem {
+pub struct ValidationError {
     /// The key, as `registry.addresses`.
     pub key: String,
     /// What would be right.
@@ -86,12 +86,12 @@
 /// Reads a TOML file of any type, and checks what it holds.
 pub fn read<T: DeserializeOwned>(
     file: &Path,
-    check: impl FnOnce(&T) -> Result<(), Problem>,
+    check: impl FnOnce(&T) -> Result<(), ValidationError>,
 ) -> Result<T, FileError> {
     let fail = |line: Option<usize>, text: String| FileError { file: file.to_owned(), line, text };
     let size = std::fs::metadata(file).map_err(|error| fail(None, error.to_string()))?.len();
-    if size > MOST_BYTES {
-        return Err(fail(None, format!("{size} bytes are too many; {MOST_BYTES} at most")));
+    if size > MAX_FILE_BYTES {
+        return Err(fail(None, format!("{size} bytes are too many; {MAX_FILE_BYTES} at most")));
     }
     let text = std::fs::read_to_string(file).map_err(|error| fail(None, error.to_string()))?;
     let line_of = |at: usize| text.as_bytes().iter().take(at).filter(|byte| **byte == b'\n').count() + 1;
@@ -141,14 +141,14 @@
     }
 
     /// Whether it makes sense.
-    pub fn check(&self) -> Result<(), Problem> {
-        let wrong = |key: &str, text: String| Err(Problem { key: key.to_owned(), text });
-        if self.zones.len() > MOST_ZONES {
-            return wrong("zones", format!("{MOST_ZONES} at most"));
+    pub fn check(&self) -> Result<(), ValidationError> {
+        let wrong = |key: &str, text: String| Err(ValidationError { key: key.to_owned(), text });
+        if self.zones.len() > MAX_ZONES {
+            return wrong("zones", format!("{MAX_ZONES} at most"));
         }
         for (name, zone) in &self.zones {
-            if name.len().max(zone.region.len()) > MOST_NAME {
-                return wrong("zones", format!("names have {MOST_NAME} bytes at most"));
+            if name.len().max(zone.region.len()) > MAX_NAME_BYTES {
+                return wrong("zones", format!("names have {MAX_NAME_BYTES} bytes at most"));
             }
             if !(0.0..=1.0).contains(&zone.share) {
                 return wrong(&format!("zones.{name}.share"), "a share from 0 to 1 is wanted".to_owned());
@@ -157,8 +157,8 @@
         let Some(registry) = &self.registry else { return Ok(()) };
         let problem = |text: String| wrong("registry.addresses", text);
         let addresses = &registry.addresses;
-        if addresses.is_empty() || addresses.len() > MOST_REPLICAS {
-            return problem(format!("1 to {MOST_REPLICAS} addresses are wanted"));
+        if addresses.is_empty() || addresses.len() > MAX_REPLICAS {
+            return problem(format!("1 to {MAX_REPLICAS} addresses are wanted"));
         }
         let twice = addresses.iter().enumerate().find(|(at, one)| addresses[..*at].contains(one));
         twice.map_or(Ok(()), |(_, one)| problem(format!("{one} stands there twice")))
--- a/node/src/discovery/mod.rs
+++ b/node/src/discovery/mod.rs
@@ -7,7 +7,7 @@
 
 use brookfield::{ListScope, Stage};
 use bytes::Bytes;
-use flaxdale_fleet::watch::PATH;
+use flaxdale_fleet::watch::INSTANCES_PATH;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::client::conn::http1::{SendRequest, handshake};
 use hyper::header::HOST;
@@ -195,8 +195,8 @@
         let link = self.kept.take().filter(|link| !link.is_closed());
         let Some(ask) = self.poller.call(now, self.node.take_whole_list(), link.is_some()) else { return };
         let target = match ask.from {
-            Some(rev) => format!("{PATH}?from={rev}&hold_ms={}", ask.hold.as_millis()),
-            None => PATH.to_owned(),
+            Some(rev) => format!("{INSTANCES_PATH}?from={rev}&hold_ms={}", ask.hold.as_millis()),
+            None => INSTANCES_PATH.to_owned(),
         };
         let at = *self.at.borrow();
         self.calls.spawn_local(async move {
--- a/node/src/discovery/tests.rs
+++ b/node/src/discovery/tests.rs
@@ -9,7 +9,7 @@
 #[tokio::test]
 async fn a_connection_that_takes_no_option_brings_the_list() {
     let (mut peer, stream) = optionless();
-    let called = async { list_at(NOWHERE, Some(talk(stream).await?), PATH).await };
+    let called = async { list_at(NOWHERE, Some(talk(stream).await?), INSTANCES_PATH).await };
     let answered = async {
         let mut asked = [0; 4];
         peer.read_exact(&mut asked).await.expect("a call");
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -123,7 +123,7 @@
 
 async fn serve(config: Config, log: Arc<log::Bound>) -> Result<(), StartError> {
     spawn_local(log.report());
-    parent_process::heed();
+    parent_process::exit_with_parent();
     let site = brookfield_settings::read(&config.settings).map_err(StartError::Settings)?;
     let seed = u64::from_str_radix(&config.seed, 16).map_err(|_| StartError::Seed(config.seed.clone()))?;
     let (clients, backends) = shares(config.limits.sockets)?;
--- a/node/src/registry.rs
+++ b/node/src/registry.rs
@@ -1,12 +1,12 @@
 //! The list of backends from the fleet's own registry: one watch, on whichever replica answers. What is asked of which
-//! replica, and what an answer is worth, is decided in [`Follower`]; here are its sockets and its clock.
+//! replica, and what an answer is worth, is decided in [`WatchClient`]; here are its sockets and its clock.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use brookfield::ListScope;
-use flaxdale_fleet::call::{Call, CallError, Link};
-use flaxdale_fleet::watch::{Ask, Follower, Head, Rules, Take};
+use flaxdale_fleet::call::{Call, CallError, HttpClient};
+use flaxdale_fleet::watch::{ListHeader, ListUpdate, WatchClient, WatchPolicy, WatchRequest};
 use hyper::StatusCode;
 use hyper::header::RETRY_AFTER;
 use rand::RngExt;
@@ -39,8 +39,8 @@
     node: Node,
     /// Where the replicas are, which a fleet file that is read again may change.
     addresses: watch::Receiver<Vec<SocketAddr>>,
-    links: Vec<Link>,
-    follower: Follower,
+    links: Vec<HttpClient>,
+    follower: WatchClient,
     luck: Xoshiro256PlusPlus,
     began: Instant,
     /// Since when no replica has answered, and when that was last told.
@@ -59,8 +59,8 @@
             node.fleet(ListScope::Cached, list.listed());
         }
         let mut luck = Xoshiro256PlusPlus::seed_from_u64(seed);
-        let links: Vec<Link> = addresses.borrow().iter().map(|at| Link::to(*at)).collect();
-        let follower = Follower::new(Rules::default(), links.len(), luck.random());
+        let links: Vec<HttpClient> = addresses.borrow().iter().map(|at| HttpClient::new(*at)).collect();
+        let follower = WatchClient::new(WatchPolicy::default(), links.len(), luck.random());
         Self { node, addresses, links, follower, luck, began: Instant::now(), away: None }
     }
 
@@ -70,9 +70,9 @@
         self.note();
         loop {
             if self.node.take_whole_list() {
-                self.follower.want_whole();
+                self.follower.request_full_list();
             }
-            let (at, ask) = self.follower.next(self.began.elapsed());
+            let (at, ask) = self.follower.next_request(self.began.elapsed());
             let called = async {
                 sleep_until(self.began + at).await;
                 let asked = self.began.elapsed();
@@ -81,8 +81,8 @@
             let (asked, answer) = tokio::select! {
                 biased;
                 () = moved(&mut moves) => {
-                    self.links = moves.borrow_and_update().iter().map(|at| Link::to(*at)).collect();
-                    self.follower.moved(self.links.len());
+                    self.links = moves.borrow_and_update().iter().map(|at| HttpClient::new(*at)).collect();
+                    self.follower.set_replicas(self.links.len());
                     continue;
                 }
                 called = called => called,
@@ -99,17 +99,17 @@
         self.node.note_list(ListState {
             rev: self.follower.rev(),
             as_of: self.follower.as_of().map(|as_of| self.began + as_of),
-            replica: self.links[self.follower.replica()].at(),
+            replica: self.links[self.follower.replica()].address(),
             away_since: self.away.map(|(since, _)| self.began + since),
         });
     }
 
-    fn take(&mut self, asked: Duration, head: Head, list: List) {
+    fn take(&mut self, asked: Duration, head: ListHeader, list: List) {
         let now = self.began.elapsed();
-        let scope = match self.follower.answered(asked, now, head) {
-            Take::Whole => Some(ListScope::Full),
-            Take::Changes => Some(ListScope::Changes),
-            Take::Nothing => None,
+        let scope = match self.follower.on_response(asked, now, head) {
+            ListUpdate::Full => Some(ListScope::Full),
+            ListUpdate::Changes => Some(ListScope::Changes),
+            ListUpdate::Ignore => None,
         };
         if let Some((since, _)) = self.away.take() {
             let away_ms = now.saturating_sub(since).as_millis() as u64;
@@ -123,10 +123,10 @@
 
     fn missed(&mut self, trouble: &Trouble) {
         let now = self.began.elapsed();
-        tracing::debug!(replica = %self.links[self.follower.replica()].at(), cause = %trouble, "no list");
+        tracing::debug!(replica = %self.links[self.follower.replica()].address(), cause = %trouble, "no list");
         let again = if let Trouble::Status { again, .. } = trouble { *again } else { None };
-        self.follower.failed(now, again, self.luck.random());
-        if !self.follower.is_alone() {
+        self.follower.on_failure(now, again, self.luck.random());
+        if !self.follower.all_replicas_failed() {
             return;
         }
         let age_ms = self.follower.age(now).map(|age| age.as_millis() as u64);
@@ -138,8 +138,8 @@
     }
 }
 
-async fn call(link: &mut Link, ask: &Ask) -> Result<(Head, List), Trouble> {
-    let answer = link.call(&Call::get(ask.target(), ask.hold + GRACE, MAX_LIST)).await?;
+async fn call(link: &mut HttpClient, ask: &WatchRequest) -> Result<(ListHeader, List), Trouble> {
+    let answer = link.call(&Call::get(ask.path_and_query(), ask.hold + GRACE, MAX_LIST)).await?;
     if answer.status != StatusCode::OK {
         let text = String::from_utf8_lossy(&answer.body[..answer.body.len().min(200)]).into_owned();
         let again = answer.header(RETRY_AFTER.as_str()).and_then(|text| text.parse::<f64>().ok());
@@ -148,5 +148,5 @@
     }
     let list: List = serde_json::from_slice(&answer.body)?;
     let age = answer.list_age();
-    Ok((Head { incarnation: list.incarnation(), rev: list.rev(), all: list.is_whole(), age }, list))
+    Ok((ListHeader { incarnation: list.incarnation(), rev: list.rev(), full: list.is_whole(), age }, list))
 }
--- a/registry/src/client.rs
+++ b/registry/src/client.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use flaxdale_fleet::call::{Call, CallError, Link};
+use flaxdale_fleet::call::{Call, CallError, HttpClient};
 use hyper::StatusCode;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -41,13 +41,13 @@
 
 /// Asks a registry.
 pub struct Client {
-    links: Vec<Link>,
+    links: Vec<HttpClient>,
 }
 
 impl Client {
     /// One that knows these replicas, by their addresses for clients.
     pub fn new(addresses: &[SocketAddr]) -> Self {
-        Self { links: addresses.iter().map(|at| Link::to(*at)).collect() }
+        Self { links: addresses.iter().map(|at| HttpClient::new(*at)).collect() }
     }
 
     /// What a path answers.
@@ -69,10 +69,10 @@
     async fn ask<A: DeserializeOwned>(&mut self, call: &Call) -> Result<A, ClientError> {
         let mut reasons = Vec::new();
         for link in &mut self.links {
-            let at = link.at();
+            let at = link.address();
             let answer = match link.call(call).await {
                 Ok(answer) => answer,
-                Err(error @ (CallError::Connect(_) | CallError::Broken(_) | CallError::Late)) => {
+                Err(error @ (CallError::Connect(_) | CallError::Http(_) | CallError::Timeout)) => {
                     reasons.push(format!("{at}: {error}"));
                     continue;
                 }
--- a/registry/src/http.rs
+++ b/registry/src/http.rs
@@ -11,7 +11,7 @@
 use axum::middleware::{Next, from_fn_with_state};
 use axum::response::{IntoResponse, Response};
 use axum::routing::{get, post};
-use flaxdale_fleet::watch::{AGE, PATH};
+use flaxdale_fleet::watch::{INSTANCES_PATH, LIST_AGE_HEADER};
 use openraft::Snapshot;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -56,7 +56,7 @@
 /// Calls of clients and operators.
 pub fn clients(replica: Arc<Replica>) -> Router {
     Router::new()
-        .route(PATH, get(instances))
+        .route(INSTANCES_PATH, get(instances))
         .route("/registry/register", post(register))
         .route("/registry/renew", post(renew))
         .route("/registry/drain", post(drain))
@@ -243,7 +243,7 @@
         Some(age) => HeaderValue::from(age.as_millis() as u64),
         None => HeaderValue::from_static("unknown"),
     };
-    headers.insert(AGE, age);
+    headers.insert(LIST_AGE_HEADER, age);
     Ok(response)
 }
 
--- a/registry/src/peers.rs
+++ b/registry/src/peers.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use flaxdale_fleet::call::{Answer, Call, CallError, Link};
+use flaxdale_fleet::call::{Call, CallError, HttpClient, Response};
 use openraft::error::{
     Fatal, NetworkError, RPCError, RaftError, RemoteError, ReplicationClosed, StreamingError, Unreachable,
 };
@@ -58,7 +58,7 @@
 pub struct Peers {
     fleet: String,
     via: Arc<BTreeMap<SocketAddr, SocketAddr>>,
-    kept: Arc<Mutex<HashMap<SocketAddr, Vec<Link>>>>,
+    kept: Arc<Mutex<HashMap<SocketAddr, Vec<HttpClient>>>>,
     silent: Arc<AtomicBool>,
 }
 
@@ -84,7 +84,7 @@
         peer: SocketAddr,
         to: Option<ReplicaId>,
         mut call: Call,
-    ) -> Result<Answer, CallError> {
+    ) -> Result<Response, CallError> {
         call.headers.push((FLEET, self.fleet.clone()));
         if let Some(to) = to {
             call.headers.push((TO, to.to_string()));
@@ -92,7 +92,7 @@
         let at = self.via.get(&peer).copied().unwrap_or(peer);
         let kept = || self.kept.lock().unwrap_or_else(PoisonError::into_inner);
         let link = kept().get_mut(&at).and_then(Vec::pop);
-        let mut link = link.unwrap_or_else(|| Link::to(at));
+        let mut link = link.unwrap_or_else(|| HttpClient::new(at));
         let answer = link.call(&call).await?;
         let mut kept = kept();
         let links = kept.entry(at).or_default();
--- a/registry/src/serve.rs
+++ b/registry/src/serve.rs
@@ -12,7 +12,7 @@
 use axum::Router;
 use axum::body::Body;
 use axum::response::Response;
-use flaxdale_fleet::watch::PATH;
+use flaxdale_fleet::watch::INSTANCES_PATH;
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
 use hyper::service::Service;
@@ -160,7 +160,7 @@
 
     fn call(&self, request: Request<Incoming>) -> Self::Future {
         match &self.watched {
-            Some(replica) if request.method() == Method::GET && request.uri().path() == PATH => {
+            Some(replica) if request.method() == Method::GET && request.uri().path() == INSTANCES_PATH => {
                 let query = request.uri().query().map(str::to_owned);
                 let watch = watch(replica.clone(), query);
                 Box::pin(async move { Ok(watch.await) })
--- a/registry/src/settings.rs
+++ b/registry/src/settings.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use flaxdale_fleet::file::{FileError, MOST_REPLICAS, Problem, read};
+use flaxdale_fleet::file::{FileError, MAX_REPLICAS, ValidationError, read};
 use serde::{Deserialize, Serialize};
 
 use crate::leases::Rules;
@@ -91,19 +91,19 @@
     }
 
     /// What makes no sense in them, with the key.
-    pub fn check(&self) -> Result<(), Problem> {
+    pub fn check(&self) -> Result<(), ValidationError> {
         let wanted = |fits: bool, key: &'static str, text: String| {
-            if fits { Ok(()) } else { Err(Problem { key: key.to_owned(), text }) }
+            if fits { Ok(()) } else { Err(ValidationError { key: key.to_owned(), text }) }
         };
         let named = !self.fleet.is_empty() && self.fleet.len() <= MOST_NAME && self.fleet.is_ascii();
         wanted(named, "fleet", format!("1 to {MOST_NAME} ASCII characters are wanted"))?;
         let own = self.place();
         let replicas = &self.replicas;
-        let (odd, few) = (replicas.len() % 2 == 1, replicas.len() <= MOST_REPLICAS);
+        let (odd, few) = (replicas.len() % 2 == 1, replicas.len() <= MAX_REPLICAS);
         wanted(
             replicas.is_empty() || (odd && few),
             "replicas",
-            format!("1, 3, 5, 7 or {MOST_REPLICAS} are wanted"),
+            format!("1, 3, 5, 7 or {MAX_REPLICAS} are wanted"),
         )?;
         let listed = replicas.is_empty() || replicas.contains(&own.peer);
         wanted(
--- a/rig/src/agents.rs
+++ b/rig/src/agents.rs
@@ -8,7 +8,7 @@
 
 use brookfield::{Member, Nanos, Stage};
 use bytes::Bytes;
-use flaxdale_fleet::watch::PATH;
+use flaxdale_fleet::watch::INSTANCES_PATH;
 use flaxdale_model::timeline::{Change, Timeline};
 use flaxdale_model::world::{Act, World, stream};
 use http_body_util::Full;
@@ -170,7 +170,7 @@
             *response.status_mut() = status;
             Ok(response)
         };
-        if request.uri().path() != PATH {
+        if request.uri().path() != INSTANCES_PATH {
             return plain(StatusCode::NOT_FOUND, "no such path".to_owned());
         }
         let trouble = self.trouble();
--- a/rig/src/experiment.rs
+++ b/rig/src/experiment.rs
@@ -101,7 +101,7 @@
     /// Reads and checks a file.
     pub fn read(file: &Path) -> Result<Self, FileError> {
         file::read(file, |experiment: &Self| {
-            experiment.check().map_err(|Problem { key, text }| file::Problem { key, text })
+            experiment.check().map_err(|Problem { key, text }| file::ValidationError { key, text })
         })
     }
 
--- a/rig/src/nodes.rs
+++ b/rig/src/nodes.rs
@@ -174,7 +174,7 @@
             // Whatever else is filtered out, the line that tells its address is not.
             .env("EDGE_LOG", format!("{},badgerpost::started=info", self.program.filter))
             .env("EDGE_LOG_FORMAT", "json")
-            .env(parent_process::VARIABLE, "stdin")
+            .env(parent_process::ENV_VAR, "stdin")
             .stdin(Stdio::piped())
             .stdout(log)
             .stderr(errors)
--- a/rig/src/registrants.rs
+++ b/rig/src/registrants.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use brookfield::Nanos;
-use flaxdale_fleet::call::{Call, Link};
+use flaxdale_fleet::call::{Call, HttpClient};
 use flaxdale_model::plan::Registry;
 use flaxdale_model::world::MS;
 use hdrhistogram::Histogram;
@@ -56,13 +56,13 @@
 
 /// A caller that goes on to the next replica where one fails.
 struct Caller {
-    links: Vec<Link>,
+    links: Vec<HttpClient>,
     at: usize,
 }
 
 impl Caller {
     fn new(addresses: &[SocketAddr], first: usize) -> Self {
-        let links: Vec<Link> = addresses.iter().map(|at| Link::to(*at)).collect();
+        let links: Vec<HttpClient> = addresses.iter().map(|at| HttpClient::new(*at)).collect();
         let at = first % links.len().max(1);
         Self { links, at }
     }
--- a/rig/src/replicas.rs
+++ b/rig/src/replicas.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use flaxdale_fleet::call::{Call, Link};
+use flaxdale_fleet::call::{Call, HttpClient};
 use flaxdale_fleet::parent_process;
 use flaxdale_model::plan::Registry;
 use flaxdale_model::timeline::replica as end_of;
@@ -97,7 +97,7 @@
             .arg(&one.config)
             .env("EDGE_LOG", "info,openraft=error")
             .env("EDGE_LOG_FORMAT", "json")
-            .env(parent_process::VARIABLE, "stdin")
+            .env(parent_process::ENV_VAR, "stdin")
             .stdin(Stdio::piped())
             .stdout(Stdio::null())
             .stderr(log)
@@ -130,14 +130,14 @@
     /// What one says of itself.
     pub async fn status(&self, at: usize) -> Option<Value> {
         let call = Call::get("/registry/status", ASK, MOST_ANSWER);
-        let answer = Link::to(self.all[at].client).call(&call).await.ok()?;
+        let answer = HttpClient::new(self.all[at].client).call(&call).await.ok()?;
         serde_json::from_slice(&answer.body).ok()
     }
 
     /// A counter of one's figures.
     pub async fn figure(&self, at: usize, name: &str) -> Option<f64> {
         let answer =
-            Link::to(self.all[at].client).call(&Call::get("/metrics", ASK, MOST_ANSWER)).await.ok()?;
+            HttpClient::new(self.all[at].client).call(&Call::get("/metrics", ASK, MOST_ANSWER)).await.ok()?;
         let text = String::from_utf8_lossy(&answer.body).into_owned();
         let line = text.lines().find_map(|line| line.strip_prefix("flaxdale_registry_")?.strip_prefix(name));
         line?.trim().parse().ok()
--- a/rig/src/watchers.rs
+++ b/rig/src/watchers.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use brookfield::Nanos;
-use flaxdale_fleet::call::{Call, Link};
-use flaxdale_fleet::watch::{Follower, Head, PATH, Rules, Take};
+use flaxdale_fleet::call::{Call, HttpClient};
+use flaxdale_fleet::watch::{INSTANCES_PATH, ListHeader, ListUpdate, WatchClient, WatchPolicy};
 use flaxdale_model::ledger::Rule;
 use hyper::StatusCode;
 use serde::Deserialize;
@@ -59,7 +59,7 @@
     shared: Arc<Shared>,
     register: Arc<Register>,
     addresses: Vec<SocketAddr>,
-    rules: Rules,
+    rules: WatchPolicy,
     seen: Mutex<Vec<Arc<Mutex<Seen>>>>,
 }
 
@@ -80,7 +80,7 @@
         addresses: Vec<SocketAddr>,
         hold: Duration,
     ) -> Arc<Self> {
-        let rules = Rules { hold, ..Rules::default() };
+        let rules = WatchPolicy { hold, ..WatchPolicy::default() };
         Arc::new(Self { shared, register, addresses, rules, seen: Mutex::default() })
     }
 
@@ -98,24 +98,25 @@
 
     async fn follow(self: Arc<Self>, first: usize, seen: Arc<Mutex<Seen>>) {
         let count = self.addresses.len();
-        let mut links: Vec<Link> =
-            (0..count).map(|by| Link::to(self.addresses[(first + by) % count])).collect();
-        let mut follower = Follower::new(self.rules, count, 0.0);
+        let mut links: Vec<HttpClient> =
+            (0..count).map(|by| HttpClient::new(self.addresses[(first + by) % count])).collect();
+        let mut follower = WatchClient::new(self.rules, count, 0.0);
         let clock = self.shared.clock;
         let began = clock.now();
         let since = || Duration::from_nanos(clock.now() - began);
         loop {
-            let (at, ask) = follower.next(since());
+            let (at, ask) = follower.next_request(since());
             sleep(at.saturating_sub(since())).await;
             let asked = since();
-            let answer = links[ask.replica].call(&Call::get(ask.target(), ask.hold + GRACE, MOST_LIST)).await;
+            let answer =
+                links[ask.replica].call(&Call::get(ask.path_and_query(), ask.hold + GRACE, MOST_LIST)).await;
             let answer = answer.ok().filter(|answer| answer.status == StatusCode::OK);
             let list = answer.and_then(|answer| {
                 Some((serde_json::from_slice::<List>(&answer.body).ok()?, answer.list_age()))
             });
             let Some((list, age)) = list else {
                 // Spread as a fleet's clients are; the links' order differs between them.
-                follower.failed(since(), None, (first % 10) as f64 / 10.0);
+                follower.on_failure(since(), None, (first % 10) as f64 / 10.0);
                 continue;
             };
             let mut book = lock(&self.shared.book);
@@ -125,22 +126,22 @@
                 let what = format!("told version {} after {:?}", list.rev, ask.seen);
                 self.shared.breach(Rule::RegistryForward, format!("watcher of r{first}"), what);
             }
-            let head = Head { incarnation: list.incarnation, rev: list.rev, all: list.all, age };
-            let take = follower.answered(asked, since(), head);
+            let head = ListHeader { incarnation: list.incarnation, rev: list.rev, full: list.all, age };
+            let take = follower.on_response(asked, since(), head);
             self.take(&seen, take, list);
         }
     }
 
-    fn take(&self, seen: &Mutex<Seen>, take: Take, list: List) {
+    fn take(&self, seen: &Mutex<Seen>, take: ListUpdate, list: List) {
         let now = self.shared.clock.now();
         let mut seen = lock(seen);
         seen.silent = seen.silent.max(seen.last.map_or(0, |last| now - last));
         seen.last = Some(now);
-        if take == Take::Nothing {
+        if take == ListUpdate::Ignore {
             return;
         }
         let mut gone = Vec::new();
-        if take == Take::Whole {
+        if take == ListUpdate::Full {
             let named: BTreeSet<&String> = list.targets.iter().map(|one| &one.uid).collect();
             gone.extend(seen.list.keys().filter(|uid| !named.contains(uid)).cloned());
             seen.list.clear();
@@ -208,8 +209,8 @@
         let read = async || {
             let mut newest: Option<List> = None;
             for at in &self.addresses {
-                let call = Call::get(PATH, Duration::from_secs(2), MOST_LIST);
-                let Ok(answer) = Link::to(*at).call(&call).await else { continue };
+                let call = Call::get(INSTANCES_PATH, Duration::from_secs(2), MOST_LIST);
+                let Ok(answer) = HttpClient::new(*at).call(&call).await else { continue };
                 let list = serde_json::from_slice::<List>(&answer.body).ok();
                 let newer = |list: &List| newest.as_ref().is_none_or(|newest| list.rev > newest.rev);
                 newest = list.filter(newer).or(newest);
