--- a/registry/src/peers.rs
+++ b/registry/src/peers.rs
@@ -22,8 +22,8 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-use crate::machine::State;
 use crate::raft::{Place, ReplicaId, Types};
+use crate::state_machine::State;
 
 /// Headers that name the fleet and the replica that is meant.
 pub const FLEET: &str = "x-registry-fleet";
--- a/registry/src/raft.rs
+++ b/registry/src/raft.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::list::{Command, Refused, Rev};
-use crate::machine::State;
+use crate::state_machine::State;
 
 /// A replica's name: drawn when its store is made, so that one that has lost its store is another replica. A vote that
 /// was given and forgotten is never given twice under one name.
--- a/registry/src/replica/mod.rs
+++ b/registry/src/replica/mod.rs
@@ -1,14 +1,14 @@
 //! One replica: the consensus, the state, the leader's office, and what may be asked of them. It decides nothing on the
 //! list itself: that is [`crate::list`]'s and [`crate::leases`]'s.
 //!
-//! Here are the replica itself and what may be asked of it. `log` is the way through the log and the majority's word,
-//! `office` what the leader keeps, `forward` what goes to whoever leads, `members` who the replicas are, `status` how it
+//! Here are the replica itself and what may be asked of it. `consensus` is the way through the log and the majority's word,
+//! `leadership` what the leader keeps, `forward` what goes to whoever leads, `membership` who the replicas are, `status` how it
 //! stands.
 
+mod consensus;
 mod forward;
-mod log;
-mod members;
-mod office;
+mod leadership;
+mod membership;
 mod status;
 
 use std::sync::atomic::{AtomicBool, AtomicUsize};
@@ -21,14 +21,14 @@
 use tokio::sync::{Semaphore, mpsc, oneshot};
 use tokio::time::{Instant, timeout};
 
-use crate::figures::Figures;
-use crate::hub::Hub;
 use crate::leases::Leases;
 use crate::list::{Command, Instance, Rev, past_all_before};
-use crate::machine::{Machine, Shared};
+use crate::metrics::Figures;
 use crate::peers::Peers;
 use crate::raft::{Applied, Place, Raft, ReplicaId};
+use crate::response_cache::Hub;
 use crate::settings::Settings;
+use crate::state_machine::{Machine, Shared};
 use crate::store::{Store, StoreError};
 use crate::wire::{Backup, Decision, Life, Part, Renewal, Renewed, Replicas};
 
--- a/registry/src/replica/status.rs
+++ b/registry/src/replica/status.rs
@@ -6,8 +6,8 @@
 use serde_json::{Value, json};
 
 use super::Replica;
-use crate::figures::Levels;
 use crate::list::{Line, State as Stage};
+use crate::metrics::Levels;
 
 impl Replica {
     /// What its figures are read from.
--- a/registry/src/hub.rs
+++ b/registry/src/response_cache.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 
 use crate::list::Rev;
-use crate::machine::Shared;
+use crate::state_machine::Shared;
 use crate::wire::Listing;
 
 /// Answers to one version that are kept: one for each version that some watcher still has.
--- a/registry/src/store.rs
+++ b/registry/src/store.rs
@@ -12,8 +12,8 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use crate::machine::State;
 use crate::raft::{LogId, Place, ReplicaId, StorageError, Types};
+use crate::state_machine::State;
 
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
