--- a/cli/src/registry.rs
+++ b/cli/src/registry.rs
@@ -9,10 +9,10 @@
 use flaxdale_fleet::parent_process;
 use flaxdale_fleet::watch::INSTANCES_PATH;
 use flaxdale_registry::client::{Client, ClientError};
-use flaxdale_registry::list::MOST_PART;
+use flaxdale_registry::list::MAX_PART_LINES;
 use flaxdale_registry::serve::{ServeError, serve};
 use flaxdale_registry::settings::Settings;
-use flaxdale_registry::wire::{Backup, Decision, Life, Listing, Part, Replicas};
+use flaxdale_registry::wire::{Backup, BackupPart, InstanceKey, Listing, ReplicaChange, SuspectDecision};
 use serde_json::Value;
 use tokio::signal::unix::{SignalKind, signal};
 
@@ -210,7 +210,7 @@
             Self::Drain { uid, at } => change(at, "/registry/drain", &uid, "drains").await,
             Self::Leave { uid, at } => change(at, "/registry/leave", &uid, "has left").await,
             Self::Suspects { zone, are, at } => {
-                let decision = Decision { zone, alive: are == Are::Alive };
+                let decision = SuspectDecision { zone, alive: are == Are::Alive };
                 let done: Value = at.client()?.post("/registry/suspects", &decision).await?;
                 Ok(format!("{} instances concerned, version {}", done["concerned"], done["rev"]))
             }
@@ -221,9 +221,9 @@
                 Ok(format!("{}: version {}, {} instances", file.display(), backup.rev, backup.lines.len()))
             }
             Self::Restore { file, at } => restore(&file, at).await,
-            Self::Add { peer, at } => replicas(at, Replicas::Add(peer)).await,
-            Self::Remove { peer, at } => replicas(at, Replicas::Remove(peer)).await,
-            Self::Lead { peer, at } => replicas(at, Replicas::Lead(peer)).await,
+            Self::Add { peer, at } => replicas(at, ReplicaChange::Add(peer)).await,
+            Self::Remove { peer, at } => replicas(at, ReplicaChange::Remove(peer)).await,
+            Self::Lead { peer, at } => replicas(at, ReplicaChange::Lead(peer)).await,
         }
     }
 }
@@ -260,14 +260,14 @@
     let one = list.targets.into_iter().find(|one| one.uid == uid);
     let one =
         one.ok_or_else(|| ClientError::Refused { status: 404, text: format!("{uid} is not on the list") })?;
-    let done: Value = client.post(path, &Life { uid: one.uid, boot_ms: one.boot_ms }).await?;
+    let done: Value = client.post(path, &InstanceKey { uid: one.uid, boot_ms: one.boot_ms }).await?;
     Ok(format!("{uid} {what}: version {}", done["rev"]))
 }
 
-async fn replicas(at: At, change: Replicas) -> Result<String, Failed> {
+async fn replicas(at: At, change: ReplicaChange) -> Result<String, Failed> {
     let done: Value = at.client()?.post("/registry/replicas", &change).await?;
     Ok(match change {
-        Replicas::Lead(_) => format!("{} leads", done["leader"].as_str().unwrap_or("another replica")),
+        ReplicaChange::Lead(_) => format!("{} leads", done["leader"].as_str().unwrap_or("another replica")),
         _ => format!("{} replicas", done["replicas"]),
     })
 }
@@ -305,11 +305,11 @@
     let parts: Vec<_> = if backup.lines.is_empty() {
         vec![Vec::new()]
     } else {
-        backup.lines.chunks(MOST_PART).map(<[_]>::to_vec).collect()
+        backup.lines.chunks(MAX_PART_LINES).map(<[_]>::to_vec).collect()
     };
     let (count, mut done) = (parts.len() as u32, Value::Null);
     for (part, lines) in (0..).zip(parts) {
-        done = client.post("/registry/restore", &Part { part, parts: count, lines }).await?;
+        done = client.post("/registry/restore", &BackupPart { part, parts: count, lines }).await?;
     }
     Ok(format!("{} instances restored: version {}", backup.lines.len(), done["rev"]))
 }
@@ -396,7 +396,7 @@
                 return if matches!(error, ServeError::Listen { .. }) { Exit::Machine } else { Exit::Usage };
             }
         };
-        let doors = serving.doors;
+        let doors = serving.addresses;
         tracing::info!(listen = %doors.clients, peers = %doors.peers, "serves");
         tokio::select! {
             _ = terminate.recv() => {}
--- a/cli/tests/registry/main.rs
+++ b/cli/tests/registry/main.rs
@@ -164,7 +164,7 @@
     let newer: Listing = site.client(leader).get("/registry/instances").await.expect("a list");
     let behind =
         site.client(cut_off).get::<Listing>(&format!("/registry/instances?seen={}", newer.rev)).await;
-    let Err(ClientError::Nobody(text)) = behind else { panic!("{behind:?}") };
+    let Err(ClientError::Unavailable(text)) = behind else { panic!("{behind:?}") };
     assert!(text.contains("this replica is behind"), "{text}");
     site.isolate(cut_off, false);
     until("it has caught up", || async {
--- a/registry/src/client.rs
+++ b/registry/src/client.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use crate::wire::Refusal;
+use crate::wire::ErrorBody;
 
 /// A list of thousands fits, a backup too.
 const MOST_ANSWER: usize = 64 * 1024 * 1024;
@@ -28,7 +28,7 @@
     },
     /// No replica can say.
     #[error("no replica did it: {0}")]
-    Nobody(String),
+    Unavailable(String),
     /// What came back makes no sense.
     #[error("{at}: {source}")]
     Malformed {
@@ -62,7 +62,7 @@
         path: &str,
         body: &impl Serialize,
     ) -> Result<A, ClientError> {
-        let body = serde_json::to_vec(body).map_err(|error| ClientError::Nobody(error.to_string()))?;
+        let body = serde_json::to_vec(body).map_err(|error| ClientError::Unavailable(error.to_string()))?;
         self.ask(&Call::post(path, body, PATIENCE, MOST_ANSWER)).await
     }
 
@@ -76,19 +76,19 @@
                     reasons.push(format!("{at}: {error}"));
                     continue;
                 }
-                Err(error) => return Err(ClientError::Nobody(format!("{at}: {error}"))),
+                Err(error) => return Err(ClientError::Unavailable(format!("{at}: {error}"))),
             };
             if answer.status == StatusCode::OK {
                 return serde_json::from_slice(&answer.body)
                     .map_err(|source| ClientError::Malformed { at, source });
             }
-            let text = Refusal::reason(&answer.body);
+            let text = ErrorBody::message(&answer.body);
             match answer.status.as_u16() {
                 // Another replica may know more.
                 503 | 504 => reasons.push(format!("{at}: {text}")),
                 status => return Err(ClientError::Refused { status, text }),
             }
         }
-        Err(ClientError::Nobody(reasons.join("; ")))
+        Err(ClientError::Unavailable(reasons.join("; ")))
     }
 }
--- a/registry/src/http.rs
+++ b/registry/src/http.rs
@@ -21,7 +21,7 @@
 use crate::list::Rev;
 use crate::peers::{APPEND, FLEET, MOST_MESSAGE, SNAPSHOT, TO, VOTE, Whole};
 use crate::replica::{DO, ELECT, MOST_LIVES, Operation, Replica, Trouble, WHO};
-use crate::wire::{Decision, Life, Part, Refusal, Renewal, Replicas, Target};
+use crate::wire::{BackupPart, ErrorBody, InstanceKey, Renewal, ReplicaChange, SuspectDecision, Target};
 
 type Own = State<Arc<Replica>>;
 
@@ -35,7 +35,7 @@
 impl IntoResponse for Trouble {
     fn into_response(self) -> Response {
         let status = StatusCode::from_u16(self.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-        let mut response = (status, axum::Json(Refusal { error: self.text })).into_response();
+        let mut response = (status, axum::Json(ErrorBody { error: self.text })).into_response();
         if let Some(again) = self.again
             && let Ok(value) = HeaderValue::from_str(&format!("{:.1}", again.as_secs_f64()))
         {
@@ -140,23 +140,23 @@
 }
 
 async fn drain(State(own): Own, body: Bytes) -> Result<Response, Trouble> {
-    perform(&own, Operation::Drain(parsed::<Life>(&body)?), false).await
+    perform(&own, Operation::Drain(parsed::<InstanceKey>(&body)?), false).await
 }
 
 async fn leave(State(own): Own, body: Bytes) -> Result<Response, Trouble> {
-    perform(&own, Operation::Leave(parsed::<Life>(&body)?), false).await
+    perform(&own, Operation::Leave(parsed::<InstanceKey>(&body)?), false).await
 }
 
 async fn suspects(State(own): Own, body: Bytes) -> Result<Response, Trouble> {
-    perform(&own, Operation::Decide(parsed::<Decision>(&body)?), false).await
+    perform(&own, Operation::Decide(parsed::<SuspectDecision>(&body)?), false).await
 }
 
 async fn restore(State(own): Own, body: Bytes) -> Result<Response, Trouble> {
-    perform(&own, Operation::Restore(parsed::<Part>(&body)?), false).await
+    perform(&own, Operation::Restore(parsed::<BackupPart>(&body)?), false).await
 }
 
 async fn replicas(State(own): Own, body: Bytes) -> Result<Response, Trouble> {
-    perform(&own, Operation::Replicas(parsed::<Replicas>(&body)?), false).await
+    perform(&own, Operation::Replicas(parsed::<ReplicaChange>(&body)?), false).await
 }
 
 async fn ready(State(own): Own) -> Result<&'static str, Trouble> {
--- a/registry/src/list.rs
+++ b/registry/src/list.rs
@@ -13,7 +13,7 @@
 /// Changes that are kept for watchers; one that is further behind gets the whole list.
 pub const HISTORY: usize = 10_000;
 /// Lines of a part of a backup: a part has to fit into one entry of the log.
-pub const MOST_PART: usize = 200;
+pub const MAX_PART_LINES: usize = 200;
 /// A version of the list.
 pub type Rev = u64;
 
@@ -287,7 +287,7 @@
             self.staged = Default::default();
         }
         let refused = Refused::Part { part, parts, lines: lines.len() };
-        if part != self.staged.0 || part >= parts || lines.len() > MOST_PART {
+        if part != self.staged.0 || part >= parts || lines.len() > MAX_PART_LINES {
             return Err(refused);
         }
         lines.iter().try_for_each(|line| line.instance.check())?;
--- a/registry/src/replica/forward.rs
+++ b/registry/src/replica/forward.rs
@@ -13,7 +13,7 @@
 
 use super::{CONFIRM_EACH, DO, MOST_LIVES, Operation, Renewing, Replica, SOON, Trouble};
 use crate::raft::{Place, ReplicaId};
-use crate::wire::{Refusal, Renewal, Renewed};
+use crate::wire::{ErrorBody, Renewal, Renewed};
 
 /// A replica that leads answers another one by then; a command's own time is in it.
 const FORWARD: Duration = Duration::from_secs(4);
@@ -99,7 +99,7 @@
             return serde_json::from_slice(&answer.body)
                 .map_err(|error| Trouble::refused(502, format!("replica {peer}: {error}")));
         }
-        let text = Refusal::reason(&answer.body);
+        let text = ErrorBody::message(&answer.body);
         let status = answer.status.as_u16();
         let again = matches!(status, 421 | 503 | 504).then_some(SOON);
         // One that is not the replica that was meant will not become it.
--- a/registry/src/replica/leadership.rs
+++ b/registry/src/replica/leadership.rs
@@ -11,7 +11,7 @@
 use super::{Office, Replica, Trouble, lock, unix_s};
 use crate::leases::Leases;
 use crate::list::{Command, past_all_before};
-use crate::wire::{Decision, Life, Renewal, Renewed};
+use crate::wire::{InstanceKey, Renewal, Renewed, SuspectDecision};
 
 impl Replica {
     pub(super) fn now(&self) -> u64 {
@@ -130,7 +130,7 @@
             let office = office.ok_or_else(|| Trouble::later("the leader has just come into office"))?;
             let now = self.now();
             office.leases.follow(&self.shared.read().list, now);
-            for Life { uid, boot_ms } in &renewal.lives {
+            for InstanceKey { uid, boot_ms } in &renewal.lives {
                 match office.leases.renew(uid, *boot_ms, now) {
                     Ok(Some(Command::Clear(lives))) => cleared.extend(lives),
                     Ok(_) => {}
@@ -146,7 +146,7 @@
             .map_err(|error| Trouble::refused(500, error.to_string()))
     }
 
-    pub(super) async fn decide(&self, decision: Decision) -> Result<Value, Trouble> {
+    pub(super) async fn decide(&self, decision: SuspectDecision) -> Result<Value, Trouble> {
         let confirmed = self.confirm().await?;
         let commands = {
             let mut office = lock(&self.office);
--- a/registry/src/replica/mod.rs
+++ b/registry/src/replica/mod.rs
@@ -30,7 +30,7 @@
 use crate::settings::Settings;
 use crate::state_machine::{Machine, Shared};
 use crate::store::{Store, StoreError};
-use crate::wire::{Backup, Decision, Life, Part, Renewal, Renewed, Replicas};
+use crate::wire::{Backup, BackupPart, InstanceKey, Renewal, Renewed, ReplicaChange, SuspectDecision};
 
 /// Commands, confirmations or renewals that wait.
 const MOST_WAITING: usize = 4096;
@@ -93,15 +93,15 @@
     /// Lives renew their leases.
     Renew(Renewal),
     /// A life drains.
-    Drain(Life),
+    Drain(InstanceKey),
     /// A life leaves.
-    Leave(Life),
+    Leave(InstanceKey),
     /// A person's word on suspects.
-    Decide(Decision),
+    Decide(SuspectDecision),
     /// A part of a backup comes back.
-    Restore(Part),
+    Restore(BackupPart),
     /// The replicas change.
-    Replicas(Replicas),
+    Replicas(ReplicaChange),
     /// How far the list has come, by a leader that is one.
     Confirm,
     /// A replica that lost its store comes again under another name.
@@ -371,15 +371,15 @@
                 let rev = self.write(Command::Register(instance)).await?;
                 Ok(json!({"rev": rev, "lease_ms": self.settings.lease_ms}))
             }
-            Operation::Drain(Life { uid, boot_ms }) => {
+            Operation::Drain(InstanceKey { uid, boot_ms }) => {
                 self.write(Command::Drain { uid, boot_ms }).await.map(rev)
             }
-            Operation::Leave(Life { uid, boot_ms }) => {
+            Operation::Leave(InstanceKey { uid, boot_ms }) => {
                 self.write(Command::Leave { uid, boot_ms }).await.map(rev)
             }
             Operation::Renew(renewal) => self.renew(renewal).await,
             Operation::Decide(decision) => self.decide(decision).await,
-            Operation::Restore(Part { part, parts, lines }) => {
+            Operation::Restore(BackupPart { part, parts, lines }) => {
                 let past = past_all_before(unix_s());
                 self.write(Command::Restore { part, parts, lines, past }).await.map(rev)
             }
@@ -387,9 +387,9 @@
                 let confirmed = self.confirm().await?;
                 serde_json::to_value(confirmed).map_err(|error| Trouble::refused(500, error.to_string()))
             }
-            Operation::Replicas(Replicas::Add(peer)) => self.add(peer).await,
-            Operation::Replicas(Replicas::Remove(peer)) => self.remove(peer).await,
-            Operation::Replicas(Replicas::Lead(peer)) => self.hand_over(peer).await,
+            Operation::Replicas(ReplicaChange::Add(peer)) => self.add(peer).await,
+            Operation::Replicas(ReplicaChange::Remove(peer)) => self.remove(peer).await,
+            Operation::Replicas(ReplicaChange::Lead(peer)) => self.hand_over(peer).await,
             Operation::Join { id, place } => self.join(id, place).await,
         }
     }
--- a/registry/src/serve.rs
+++ b/registry/src/serve.rs
@@ -57,7 +57,7 @@
 
 /// Where a replica's two doors are.
 #[derive(Clone, Copy, Debug)]
-pub struct Doors {
+pub struct ListenAddresses {
     /// For clients.
     pub clients: SocketAddr,
     /// For the other replicas.
@@ -65,11 +65,11 @@
 }
 
 /// A replica that serves.
-pub struct Serving {
+pub struct RunningReplica {
     /// It.
     pub replica: Arc<Replica>,
     /// Where it listens.
-    pub doors: Doors,
+    pub addresses: ListenAddresses,
 }
 
 fn open(at: SocketAddr) -> Result<TcpListener, ServeError> {
@@ -84,12 +84,14 @@
 }
 
 /// Opens the doors and starts a replica behind them; its tasks end with the runtime. A port of 0 takes a free one.
-pub async fn serve(mut settings: Settings) -> Result<Serving, ServeError> {
+pub async fn serve(mut settings: Settings) -> Result<RunningReplica, ServeError> {
     let (for_clients, for_peers) = (open(settings.listen)?, open(settings.peer_listen)?);
     let at = |listener: &TcpListener, wanted| listener.local_addr().unwrap_or(wanted);
-    let doors =
-        Doors { clients: at(&for_clients, settings.listen), peers: at(&for_peers, settings.peer_listen) };
-    (settings.listen, settings.peer_listen) = (doors.clients, doors.peers);
+    let addresses = ListenAddresses {
+        clients: at(&for_clients, settings.listen),
+        peers: at(&for_peers, settings.peer_listen),
+    };
+    (settings.listen, settings.peer_listen) = (addresses.clients, addresses.peers);
     let most = settings.most_connections;
     let replica = Replica::start(settings).await?;
     let at_peers = Doorway { router: TowerToHyperService::new(peers(replica.clone())), watched: None };
@@ -98,7 +100,7 @@
     let router = TowerToHyperService::new(clients(replica.clone()));
     let at_clients = Doorway { router, watched: Some(replica.clone()) };
     tokio::spawn(take(for_clients, at_clients, most, connections, replica.clone()));
-    Ok(Serving { replica, doors })
+    Ok(RunningReplica { replica, addresses })
 }
 
 /// Takes connections, as many at a time as there may be; one too many is closed at once. Never ends.
--- a/registry/src/wire.rs
+++ b/registry/src/wire.rs
@@ -97,7 +97,7 @@
 /// A life: an instance by its name and its start.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Life {
+pub struct InstanceKey {
     /// Its name.
     pub uid: String,
     /// Its start.
@@ -109,7 +109,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Renewal {
     /// They.
-    pub lives: Vec<Life>,
+    pub lives: Vec<InstanceKey>,
 }
 
 /// What a renewal came to.
@@ -124,7 +124,7 @@
 /// A person's word on a zone's suspects.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Decision {
+pub struct SuspectDecision {
     /// The zone.
     pub zone: String,
     /// Whether they live.
@@ -134,7 +134,7 @@
 /// A change of the replicas, which are named by their peer addresses.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
-pub enum Replicas {
+pub enum ReplicaChange {
     /// One comes.
     Add(SocketAddr),
     /// One goes.
@@ -167,7 +167,7 @@
 /// A part of a backup on its way back.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Part {
+pub struct BackupPart {
     /// Which part, from 0.
     pub part: u32,
     /// How many there are.
@@ -178,14 +178,14 @@
 
 /// What was refused, and why.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Refusal {
+pub struct ErrorBody {
     /// The reason.
     pub error: String,
 }
 
-impl Refusal {
+impl ErrorBody {
     /// The reason that a body tells; one that is none of ours is the reason itself.
-    pub fn reason(body: &[u8]) -> String {
+    pub fn message(body: &[u8]) -> String {
         match serde_json::from_slice::<Self>(body) {
             Ok(refusal) => refusal.error,
             Err(_) => String::from_utf8_lossy(body).into_owned(),
--- a/registry/tests/list.rs
+++ b/registry/tests/list.rs
@@ -245,7 +245,7 @@
     // A bad line spoils nothing that stands.
     let bad = Line { instance: instance("", 1), ..line("d") };
     assert!(matches!(list.apply(&part(0, 1, vec![bad])), Err(Refused::Name { .. })));
-    let many = vec![line("e"); MOST_PART + 1];
+    let many = vec![line("e"); MAX_PART_LINES + 1];
     assert!(matches!(list.apply(&part(0, 1, many)), Err(Refused::Part { .. })));
     assert_eq!(list.lines().count(), 1);
 }
