--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -28,7 +28,7 @@
 use tokio::time::{Instant, sleep_until, timeout_at};
 
 use driver::{Clock, Node};
-use server::Phase;
+use server::ShutdownPhase;
 use upstream::Upstream;
 
 /// After SIGTERM connections go on coming for a while, up to here.
@@ -154,16 +154,16 @@
     }
     let timers = node.clone();
     spawn_local(async move { timers.run_timers().await });
-    let (phase, phases) = watch::channel(Phase::Serving);
+    let (phase, phases) = watch::channel(ShutdownPhase::Serving);
     let deadline = node.longest_deadline();
     let served = spawn_local(server::run(listener, node, clients, phases));
     asked_to_stop(&mut terminate, &mut interrupt).await;
     let asked = Instant::now();
     tracing::info!(node = config.name, "stops");
-    phase.send_replace(Phase::Stopping);
+    phase.send_replace(ShutdownPhase::Draining);
     sleep_until(asked + STILL_TAKES).await;
-    let answer_by = asked + deadline.min(LONGEST_STAY) + STAYS - ANSWERED_BEFORE;
-    phase.send_replace(Phase::Closing { answer_by });
+    let response_deadline = asked + deadline.min(LONGEST_STAY) + STAYS - ANSWERED_BEFORE;
+    phase.send_replace(ShutdownPhase::Closing { response_deadline });
     // Whatever is still open after that has nothing on it that was taken.
     let _ = timeout_at(asked + STILL_TAKES + deadline.max(LONGEST_STAY) + GUARD, served).await;
     Ok(())
--- a/node/src/server/call.rs
+++ b/node/src/server/call.rs
@@ -12,7 +12,7 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, timeout_at};
 
-use super::phase::Phase;
+use super::phase::ShutdownPhase;
 use crate::driver::{Asked, Call, Node, Reply};
 use crate::upstream::MAX_BODY;
 
@@ -65,17 +65,17 @@
     node: &Node,
     request: Request<Incoming>,
     whole_by: Instant,
-    phase: &watch::Receiver<Phase>,
+    phase: &watch::Receiver<ShutdownPhase>,
 ) -> Result<Answer, Infallible> {
-    let serving = || *phase.borrow() == Phase::Serving;
-    let answer_by = match *phase.borrow() {
-        Phase::Closing { answer_by } => Some(answer_by),
-        Phase::Serving | Phase::Stopping => None,
+    let serving = || *phase.borrow() == ShutdownPhase::Serving;
+    let response_deadline = match *phase.borrow() {
+        ShutdownPhase::Closing { response_deadline } => Some(response_deadline),
+        ShutdownPhase::Serving | ShutdownPhase::Draining => None,
     };
     // Only a client's connection is worth its slot: checks come on a new one each time, and hold the old ones.
     let mut client = false;
     let mut response = match request.uri().path() {
-        "/api" => match call(node, request, whole_by, answer_by).await {
+        "/api" => match call(node, request, whole_by, response_deadline).await {
             Ok(answer) => {
                 client = true;
                 answer
@@ -118,7 +118,7 @@
     node: &Node,
     request: Request<Incoming>,
     whole_by: Instant,
-    answer_by: Option<Instant>,
+    response_deadline: Option<Instant>,
 ) -> Result<Answer, BadCall> {
     let came = node.clock().now();
     let (head, body) = request.into_parts();
@@ -143,7 +143,7 @@
     yield_now().await;
     let spent: Nanos = node.clock().now().saturating_sub(came);
     let budget = time_left(budget, deadline, spent);
-    let stays = answer_by.map(|at| at.saturating_duration_since(Instant::now()).as_nanos() as Nanos);
+    let stays = response_deadline.map(|at| at.saturating_duration_since(Instant::now()).as_nanos() as Nanos);
     let asked = Asked {
         class,
         tenant,
--- a/node/src/server/connection.rs
+++ b/node/src/server/connection.rs
@@ -15,7 +15,7 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
 use super::call::answer;
-use super::phase::Phase;
+use super::phase::ShutdownPhase;
 use super::stream::ClientStream;
 use crate::driver::Node;
 
@@ -63,16 +63,16 @@
 pub async fn serve(
     stream: impl AsyncRead + AsyncWrite + Unpin,
     node: Node,
-    mut phase: watch::Receiver<Phase>,
+    mut phase: watch::Receiver<ShutdownPhase>,
     scarcity: impl Fn() -> bool,
 ) {
     let accepted = Instant::now();
     let course = Course { accepted, asked: Cell::new(false), serving: Cell::new(false) };
     let stream = ClientStream::new(stream);
-    let late = *phase.borrow() != Phase::Serving;
+    let late = *phase.borrow() != ShutdownPhase::Serving;
     let answers = phase.clone();
     let mut drain = std::pin::pin!(async {
-        let _ = phase.wait_for(Phase::is_closing).await;
+        let _ = phase.wait_for(ShutdownPhase::is_closing).await;
         // One that came meanwhile was opened for a request, which is on its way.
         if late {
             sleep_until(accepted + FIRST_TIMEOUT).await;
--- a/node/src/server/mod.rs
+++ b/node/src/server/mod.rs
@@ -23,7 +23,7 @@
 use crate::driver::Node;
 use crate::os_error::is_of_one_connection;
 use crate::upstream::without_delay;
-pub use phase::Phase;
+pub use phase::ShutdownPhase;
 
 /// So long after the last connection has ended another one may have been opened while the node drains.
 const LAST_ONES: Duration = Duration::from_millis(100);
@@ -56,8 +56,8 @@
     }
 }
 
-/// Serves until the phase is [`Phase::Closing`] and all connections have ended. At most `most` are open.
-pub async fn run(listener: TcpListener, node: Node, most: usize, phase: watch::Receiver<Phase>) {
+/// Serves until the phase is [`ShutdownPhase::Closing`] and all connections have ended. At most `most` are open.
+pub async fn run(listener: TcpListener, node: Node, most: usize, phase: watch::Receiver<ShutdownPhase>) {
     let slots = Arc::new(Semaphore::new(most));
     let open = Rc::new(Open::default());
     let scarce = most / SCARCE;
@@ -84,7 +84,7 @@
     };
     let mut phases = phase.clone();
     let all_ended = async {
-        let _ = phases.wait_for(Phase::is_closing).await;
+        let _ = phases.wait_for(ShutdownPhase::is_closing).await;
         loop {
             // Whoever comes as the last one leaves is in the backlog by then.
             sleep(LAST_ONES).await;
@@ -106,7 +106,7 @@
     stream: TcpStream,
     node: &Node,
     held: Held,
-    phase: &watch::Receiver<Phase>,
+    phase: &watch::Receiver<ShutdownPhase>,
     scarcity: impl Fn() -> bool + 'static,
 ) {
     let (node, phase) = (node.clone(), phase.clone());
--- a/node/src/server/phase.rs
+++ b/node/src/server/phase.rs
@@ -4,20 +4,20 @@
 
 /// How far the node's graceful shutdown is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
+pub enum ShutdownPhase {
     /// In service.
     Serving,
     /// Takes all that comes; each answer ends its connection.
-    Stopping,
+    Draining,
     /// Closes connections on which nothing is going on. What still comes is taken all the same: whoever has a
     /// connection goes on using it.
     Closing {
         /// What comes from now on is answered by then: the process may be killed.
-        answer_by: Instant,
+        response_deadline: Instant,
     },
 }
 
-impl Phase {
+impl ShutdownPhase {
     /// Whether idle connections are closed.
     pub fn is_closing(&self) -> bool {
         matches!(self, Self::Closing { .. })
--- a/node/src/server/tests.rs
+++ b/node/src/server/tests.rs
@@ -13,13 +13,13 @@
 /// What a connection brings back until the node closes it, and how long that took on the paused clock.
 /// Each text is written a second after the one before. The node has no backends, and refuses.
 async fn until_closed(scarce: bool, texts: &[&str]) -> (String, Duration) {
-    let (phase, _) = watch::channel(Phase::Serving);
+    let (phase, _) = watch::channel(ShutdownPhase::Serving);
     talk_in(&phase, scarce, texts, Duration::from_secs(1)).await
 }
 
 /// The same in any phase, and with another time between the texts.
 async fn talk_in(
-    phase: &watch::Sender<Phase>,
+    phase: &watch::Sender<ShutdownPhase>,
     scarce: bool,
     texts: &[&str],
     apart: Duration,
@@ -48,12 +48,12 @@
     (got, began.elapsed())
 }
 
-fn closing() -> Phase {
-    Phase::Closing { answer_by: Instant::now() + Duration::from_secs(9) }
+fn closing() -> ShutdownPhase {
+    ShutdownPhase::Closing { response_deadline: Instant::now() + Duration::from_secs(9) }
 }
 
 /// Turns to closing after this long.
-async fn close_after(phase: &watch::Sender<Phase>, span: Duration) {
+async fn close_after(phase: &watch::Sender<ShutdownPhase>, span: Duration) {
     sleep(span).await;
     phase.send_replace(closing());
     std::future::pending().await
@@ -62,7 +62,7 @@
 /// A head that had come by half was dropped with its connection, and its request was lost.
 #[tokio::test(start_paused = true)]
 async fn a_request_that_has_begun_to_come_is_taken_while_the_node_closes() {
-    let (phase, _) = watch::channel(Phase::Serving);
+    let (phase, _) = watch::channel(ShutdownPhase::Serving);
     let (first, rest) = CALL.split_at(30);
     let texts = [CALL, first, rest];
     let got = tokio::select! {
@@ -76,14 +76,14 @@
 /// Clients go on using what stays open, up to the end: what came last found nobody to answer.
 #[tokio::test(start_paused = true)]
 async fn connections_without_a_request_are_closed_soon_during_a_shutdown() {
-    let (phase, _) = watch::channel(Phase::Stopping);
+    let (phase, _) = watch::channel(ShutdownPhase::Draining);
     let (got, took) = tokio::select! {
         talked = talk_in(&phase, false, &[], Duration::ZERO) => talked,
         () = close_after(&phase, Duration::from_millis(100)) => unreachable!("it pends"),
     };
     assert_eq!(got, "");
     assert!(took <= Duration::from_millis(300), "one that came during the shutdown: {took:?}");
-    let (phase, _) = watch::channel(Phase::Serving);
+    let (phase, _) = watch::channel(ShutdownPhase::Serving);
     let (_, took) = tokio::select! {
         talked = talk_in(&phase, false, &[CALL], Duration::ZERO) => talked,
         () = close_after(&phase, Duration::from_millis(100)) => unreachable!("it pends"),
@@ -97,8 +97,8 @@
     let (node, _launches) = driver::tests::node(SECOND);
     node.fleet(ListScope::Full, vec![listed("s", Stage::InService)]);
     let (mut peer, stream) = tokio::io::duplex(4096);
-    let answer_by = Instant::now() + Duration::from_millis(300);
-    let (_phase, phases) = watch::channel(Phase::Closing { answer_by });
+    let response_deadline = Instant::now() + Duration::from_millis(300);
+    let (_phase, phases) = watch::channel(ShutdownPhase::Closing { response_deadline });
     let client = async {
         peer.write_all(CALL.replace("X-Budget-Ms: 1\r", "X-Budget-Ms: 900\r").as_bytes())
             .await
@@ -113,7 +113,7 @@
         () = node.run_timers() => unreachable!("timers run for ever"),
     };
     assert!(got.starts_with("HTTP/1.1 502 "), "{got}");
-    assert!(at <= answer_by + Duration::from_millis(30), "{:?} late", at - answer_by);
+    assert!(at <= response_deadline + Duration::from_millis(30), "{:?} late", at - response_deadline);
 }
 
 /// Serves whole what a socket of another family brings, which has no such option as TCP's.
@@ -121,7 +121,7 @@
 async fn a_connection_that_takes_no_option_is_served() {
     let (mut peer, stream) = driver::tests::optionless();
     let slot = Arc::new(Semaphore::new(1)).acquire_owned().await.expect("a slot");
-    let (_phase, phases) = watch::channel(Phase::Serving);
+    let (_phase, phases) = watch::channel(ShutdownPhase::Serving);
     let (node, _) = driver::tests::node(0);
     let mut got = String::new();
     let serve = async {
@@ -188,7 +188,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_client_that_does_not_read_is_let_go() {
     let (mut peer, stream) = tokio::io::duplex(64);
-    let (_phase, phases) = watch::channel(Phase::Serving);
+    let (_phase, phases) = watch::channel(ShutdownPhase::Serving);
     let (node, _) = driver::tests::node(0);
     let talk = serve(stream, node, phases, || false);
     let ask = async {
@@ -222,7 +222,7 @@
 async fn a_connection_closed_as_idle_frees_its_slot_at_once() {
     for asks in [true, false] {
         let (mut peer, stream) = tokio::io::duplex(4096);
-        let (_phase, phases) = watch::channel(Phase::Serving);
+        let (_phase, phases) = watch::channel(ShutdownPhase::Serving);
         let (node, _) = driver::tests::node(0);
         let began = Instant::now();
         if asks {
@@ -246,7 +246,7 @@
             let (node, kept) = driver::tests::node(SECOND);
             node.fleet(ListScope::Full, vec![listed("s", Stage::InService)]);
             let (mut peer, stream) = tokio::io::duplex(4096);
-            let (_phase, phases) = watch::channel(Phase::Serving);
+            let (_phase, phases) = watch::channel(ShutdownPhase::Serving);
             let client = async {
                 peer.write_all(with_budget(CALL, 3000).as_bytes()).await.expect("taken");
                 if apart {
@@ -281,7 +281,7 @@
     let (node, _kept) = driver::tests::node(SECOND);
     node.fleet(ListScope::Full, vec![listed("s", Stage::InService)]);
     let (mut peer, stream) = tokio::io::duplex(1024);
-    let (_phase, phases) = watch::channel(Phase::Serving);
+    let (_phase, phases) = watch::channel(ShutdownPhase::Serving);
     let mut sent = 0;
     let flood = async {
         peer.write_all(with_budget(CALL, 3000).as_bytes()).await.expect("taken");
@@ -310,7 +310,7 @@
     node.fleet(ListScope::Full, vec![driver::Listed { endpoint, ..listed("s", Stage::InService) }]);
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let at = listener.local_addr().expect("its address");
-    let (_phase, phases) = watch::channel(Phase::Serving);
+    let (_phase, phases) = watch::channel(ShutdownPhase::Serving);
     let got = Rc::new(std::cell::RefCell::new(String::new()));
     let work = async {
         spawn_local(run(listener, node.clone(), 8, phases));
@@ -360,7 +360,7 @@
     let at = listener.local_addr().expect("its address");
     let (node, kept) = driver::tests::node(SECOND);
     node.fleet(ListScope::Full, vec![listed("s", Stage::InService)]);
-    let (_phase, phases) = watch::channel(Phase::Serving);
+    let (_phase, phases) = watch::channel(ShutdownPhase::Serving);
     let ask = |id: &str| {
         let mut client = std::net::TcpStream::connect(at).expect("a connection");
         let text = with_budget(CALL, 3000).replace("Call-Id: 1", &format!("Call-Id: {id}"));
@@ -390,7 +390,7 @@
 async fn what_came_together_with_an_answered_request_is_taken_while_the_node_closes() {
     let (first, rest) = CALL.split_at(30);
     let together = format!("{CALL}{first}");
-    let (phase, _) = watch::channel(Phase::Serving);
+    let (phase, _) = watch::channel(ShutdownPhase::Serving);
     let texts = [together.as_str(), rest];
     let (got, _) = tokio::select! {
         talked = talk_in(&phase, false, &texts, Duration::from_millis(400)) => talked,
@@ -404,7 +404,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_request_that_begins_as_its_connection_is_about_to_be_closed_has_its_time() {
     let (first, rest) = CALL.split_at(30);
-    let (phase, _) = watch::channel(Phase::Serving);
+    let (phase, _) = watch::channel(ShutdownPhase::Serving);
     let texts = [CALL, first, rest];
     let (got, _) = talk_in(&phase, false, &texts, Duration::from_millis(2100)).await;
     assert_eq!(got.matches("HTTP/1.1 503 ").count(), 2, "{got}");
@@ -419,7 +419,7 @@
 #[tokio::test(start_paused = true)]
 async fn what_comes_after_the_last_answer_is_read_until_its_client_has_closed() {
     let (mut peer, stream) = tokio::io::duplex(4096);
-    let (_phase, phases) = watch::channel(Phase::Serving);
+    let (_phase, phases) = watch::channel(ShutdownPhase::Serving);
     let (node, _) = driver::tests::node(0);
     let client = async {
         peer.write_all(CHECK.as_bytes()).await.expect("taken");
@@ -442,7 +442,7 @@
     let (node, kept) = driver::tests::node(SECOND);
     node.fleet(ListScope::Full, vec![listed("s", Stage::InService)]);
     let (mut peer, stream) = tokio::io::duplex(1024);
-    let (phase, phases) = watch::channel(Phase::Serving);
+    let (phase, phases) = watch::channel(ShutdownPhase::Serving);
     let client = async {
         peer.write_all(with_budget(CALL, 3000).as_bytes()).await.expect("taken");
         sleep(Duration::from_millis(10)).await;
