--- a/node/src/server/connection.rs
+++ b/node/src/server/connection.rs
@@ -1,5 +1,5 @@
 //! One client's connection from its accept to its close: supervises the HTTP parser, which reads the requests and
-//! writes the answers, and closes when nobody can want it any more. What a request gets is `call`'s.
+//! writes the answers, and closes when nobody can want it any more. What a request gets is `handler`'s.
 
 use std::cell::Cell;
 use std::future::poll_fn;
@@ -14,7 +14,7 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-use super::call::answer;
+use super::handler::answer;
 use super::phase::ShutdownPhase;
 use super::stream::ClientStream;
 use crate::driver::Node;
--- a/node/src/server/mod.rs
+++ b/node/src/server/mod.rs
@@ -1,10 +1,10 @@
 //! The clients' side: takes connections, reads requests, waits for each one's final answer and writes it.
 //!
-//! This file holds the listener's part. Beside it: `connection`, one connection up to its close; `call`, one request;
+//! This file holds the listener's part. Beside it: `connection`, one connection up to its close; `handler`, one request;
 //! `stream`, a client's socket; `phase`, how far a shutdown is.
 
-mod call;
 mod connection;
+mod handler;
 mod phase;
 mod stream;
 #[cfg(test)]
--- a/node/src/server/tests.rs
+++ b/node/src/server/tests.rs
@@ -1,7 +1,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-use super::call::time_left;
 use super::connection::serve;
+use super::handler::time_left;
 use super::*;
 use crate::driver;
 use crate::driver::tests::{SECOND, listed};
