--- a/node/src/server/connection.rs
+++ b/node/src/server/connection.rs
@@ -1,5 +1,5 @@
-//! One client's connection from its accept to its close: supervises the HTTP parser, which reads the requests and
-//! writes the answers, and closes when nobody can want it any more. What a request gets is `handler`'s.
+//! One client's connection from accept to close: runs the HTTP parser, enforces timeouts, notices a client that has
+//! closed its connection, and takes part in a graceful shutdown. Requests are answered by `handler`.
 
 use std::cell::Cell;
 use std::future::poll_fn;
@@ -14,182 +14,185 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-use super::handler::answer;
+use super::handler::handle;
 use super::phase::ShutdownPhase;
 use super::stream::ClientStream;
 use crate::driver::Node;
 
-/// A connection may stand idle for this long: it holds one of few slots, and a peer that has nothing to ask keeps
-/// clients out for as long. Clients may be closed on after 2 s.
+/// Keep-alive timeout. Kept short because an idle connection holds one of a limited number of slots; clients expect that
+/// a connection may be closed after 2 s.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2200);
-/// While slots are scarce a connection has only this long for its first request, which a client sends at once.
-const FIRST_TIMEOUT: Duration = Duration::from_millis(250);
-/// A client that has not taken its answer by then, nor asked again, does not read: past any client's time.
-const UNREAD_TIMEOUT: Duration = Duration::from_secs(5);
-/// The first request of a connection is whole this long after the accept, the head of each later one after its first
-/// byte and its body after its head: a peer is owed an error or a close within 3 s of its connect.
-const WHOLE_WITHIN: Duration = Duration::from_millis(2600);
-const MAX_HEAD: usize = 32 * 1024;
-/// What still comes after the node has ended its side is read and thrown away for this long, up to so many bytes: a
-/// close over unread bytes resets the connection, and an answer that is still on its way goes with it.
-const LINGER: Duration = Duration::from_millis(300);
-const LINGER_MOST: usize = 256 * 1024;
+/// Time for the first request on a connection while slots are scarce, and on one opened during a shutdown.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(250);
+/// Time for a client to read a response; longer than any client waits.
+const RESPONSE_WRITE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time for a request to be received in full: the first one of a connection counted from the accept, the head of a later
+/// one from its first byte and the body from the end of the head. A peer gets an error or a close within 3 s.
+const REQUEST_READ_TIMEOUT: Duration = Duration::from_millis(2600);
+const MAX_HEAD_BYTES: usize = 32 * 1024;
+/// Lingering close: input that arrives after the node has closed its side is read and discarded for this long and up to
+/// `MAX_LINGER_BYTES`. Closing a socket with unread input resets the connection, and the client may lose the response.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
+const MAX_LINGER_BYTES: usize = 256 * 1024;
 
-/// What is known of a connection's requests from outside the parser.
-struct Course {
-    accepted: Instant,
-    /// Whether a request has come.
-    asked: Cell<bool>,
-    /// Whether one is being served.
-    serving: Cell<bool>,
+/// The state of a connection's requests, shared by its handler and its supervisor.
+struct RequestProgress {
+    accepted_at: Instant,
+    /// Whether the head of any request has been received.
+    request_seen: Cell<bool>,
+    /// Whether a request is being handled.
+    in_flight: Cell<bool>,
 }
 
-/// Why a connection is not supervised any longer.
+/// Why a connection is to be closed.
 #[derive(Debug)]
-enum End {
-    /// The parser has ended it: by its answer, or since the peer had.
-    Parser,
-    /// The peer has gone, and waits for nothing.
-    Gone,
-    /// The node drains.
-    Drain,
-    /// Nothing more is waited for.
-    Overdue,
-    /// The answer is not taken.
-    Unread,
+enum CloseReason {
+    /// The parser has finished: after its last response, or as the peer had closed the connection.
+    ParserDone,
+    /// The peer closed the connection while a request was being handled.
+    PeerClosed,
+    /// The node is shutting down.
+    Shutdown,
+    /// No complete request was received in time, or the slot is needed.
+    TimedOut,
+    /// The client did not read the response in time.
+    WriteTimedOut,
 }
 
-/// Serves a connection up to its close.
+/// Serves a connection until it is closed.
 pub async fn serve(
     stream: impl AsyncRead + AsyncWrite + Unpin,
     node: Node,
     mut phase: watch::Receiver<ShutdownPhase>,
-    scarcity: impl Fn() -> bool,
+    slots_scarce: impl Fn() -> bool,
 ) {
-    let accepted = Instant::now();
-    let course = Course { accepted, asked: Cell::new(false), serving: Cell::new(false) };
+    let accepted_at = Instant::now();
+    let progress =
+        RequestProgress { accepted_at, request_seen: Cell::new(false), in_flight: Cell::new(false) };
     let stream = ClientStream::new(stream);
-    let late = *phase.borrow() != ShutdownPhase::Serving;
-    let answers = phase.clone();
-    let mut drain = std::pin::pin!(async {
+    let opened_during_shutdown = *phase.borrow() != ShutdownPhase::Serving;
+    let handler_phase = phase.clone();
+    let mut closing_phase = std::pin::pin!(async {
         let _ = phase.wait_for(ShutdownPhase::is_closing).await;
-        // One that came meanwhile was opened for a request, which is on its way.
-        if late {
-            sleep_until(accepted + FIRST_TIMEOUT).await;
+        // A client that connects during a shutdown is about to send a request.
+        if opened_during_shutdown {
+            sleep_until(accepted_at + FIRST_REQUEST_TIMEOUT).await;
         }
-        // What came in with this very turn is read first.
+        // Lets the parser read what has already arrived.
         yield_now().await;
     });
-    let mut shed = std::pin::pin!(shed(&course, &scarcity));
-    let mut draining = false;
+    let mut shed_when_scarce = std::pin::pin!(shed_when_scarce(&progress, &slots_scarce));
+    let mut closing = false;
     loop {
         let service = service_fn(async |request| {
-            let first = !course.asked.replace(true);
-            course.serving.set(true);
-            let whole_by = if first { accepted } else { Instant::now() } + WHOLE_WITHIN;
-            let response = answer(&node, request, whole_by, &answers).await;
-            course.serving.set(false);
-            stream.answered();
+            let first = !progress.request_seen.replace(true);
+            progress.in_flight.set(true);
+            let read_deadline = if first { accepted_at } else { Instant::now() } + REQUEST_READ_TIMEOUT;
+            let response = handle(&node, request, read_deadline, &handler_phase).await;
+            progress.in_flight.set(false);
+            stream.mark_response_ready();
             response
         });
         let mut connection = http1::Builder::new()
             .header_read_timeout(None)
-            .keep_alive(!draining)
-            .max_buf_size(MAX_HEAD)
+            .keep_alive(!closing)
+            .max_buf_size(MAX_HEAD_BYTES)
             .serve_connection(TokioIo::new(stream.clone()), service);
-        let end = loop {
-            let end = tokio::select! {
+        let reason = loop {
+            let reason = tokio::select! {
                 biased;
                 result = &mut connection => {
                     if let Err(error) = result {
-                        tracing::debug!(cause = %error, "a client's connection broke");
+                        tracing::debug!(cause = %error, "client connection failed");
                     }
-                    End::Parser
+                    CloseReason::ParserDone
                 }
-                () = poll_fn(|context| stream.poll_gone(context, course.serving.get())) => End::Gone,
-                () = &mut drain, if !draining => End::Drain,
-                end = overdue(&course, &stream) => end,
-                () = &mut shed => End::Overdue,
+                () = poll_fn(|context| stream.poll_peer_closed(context, progress.in_flight.get()))
+                    => CloseReason::PeerClosed,
+                () = &mut closing_phase, if !closing => CloseReason::Shutdown,
+                reason = timed_out(&progress, &stream) => reason,
+                () = &mut shed_when_scarce => CloseReason::TimedOut,
             };
-            let busy = course.serving.get() || stream.is_unsent();
-            if !matches!(end, End::Drain) || !busy {
-                break end;
+            let busy = progress.in_flight.get() || stream.has_unsent_response();
+            if !matches!(reason, CloseReason::Shutdown) || !busy {
+                break reason;
             }
-            // The answer that is awaited ends the connection.
-            draining = true;
+            // The connection is closed after the pending response.
+            closing = true;
             Pin::new(&mut connection).graceful_shutdown();
         };
-        let (begun, open_ms) = (stream.begun().is_some(), accepted.elapsed().as_millis() as u64);
-        tracing::debug!(cause = ?end, begun, open_ms, "a client's connection ends");
-        match end {
-            End::Parser => break,
-            // No answer is on its way to a peer that reads, and the slot is wanted. Whoever waits for one is dropped with
-            // the parser: that tells the module.
-            End::Overdue | End::Gone | End::Unread => return,
-            End::Drain => {}
+        let (begun, open_ms) =
+            (stream.request_started_at().is_some(), accepted_at.elapsed().as_millis() as u64);
+        tracing::debug!(cause = ?reason, begun, open_ms, "closing client connection");
+        match reason {
+            CloseReason::ParserDone => break,
+            // No response is left to deliver, so there is no lingering close. Dropping the parser drops a pending request,
+            // which cancels it.
+            CloseReason::TimedOut | CloseReason::PeerClosed | CloseReason::WriteTimedOut => return,
+            CloseReason::Shutdown => {}
         }
-        // Nothing is being served. What has come since, be it half a head or still in the socket, is a request that the
-        // client counts as taken: one more parser takes it, and ends the connection with the answer.
+        // No request is being handled. Input that has arrived by now, even part of a head, belongs to a request that the
+        // client expects to be served: a new parser serves it, without keep-alive.
         stream.put_back(connection.into_parts().read_buf);
-        if !stream.has_more().await {
+        if !stream.has_unread_input().await {
             break;
         }
-        draining = true;
+        closing = true;
     }
-    linger(stream, &scarcity).await;
+    linger(stream, &slots_scarce).await;
 }
 
-/// Resolves once a connection is waited on in vain: for a request, for the rest of one, or for its peer to read.
-async fn overdue<Stream>(course: &Course, stream: &ClientStream<Stream>) -> End {
-    let due = || {
-        if course.serving.get() {
+/// Resolves when a timeout expires: of the wait for a request, for the rest of one, or for the client to read a response.
+async fn timed_out<Stream>(progress: &RequestProgress, stream: &ClientStream<Stream>) -> CloseReason {
+    let deadline = || {
+        if progress.in_flight.get() {
             return None;
         }
-        if stream.is_unsent() {
-            return Some((stream.rested() + UNREAD_TIMEOUT, End::Unread));
+        if stream.has_unsent_response() {
+            return Some((stream.last_response_at() + RESPONSE_WRITE_TIMEOUT, CloseReason::WriteTimedOut));
         }
-        let due = match stream.begun() {
-            Some(_) if !course.asked.get() => course.accepted + WHOLE_WITHIN,
-            Some(begun) => begun + WHOLE_WITHIN,
-            None => stream.rested() + IDLE_TIMEOUT,
+        let deadline = match stream.request_started_at() {
+            Some(_) if !progress.request_seen.get() => progress.accepted_at + REQUEST_READ_TIMEOUT,
+            Some(started_at) => started_at + REQUEST_READ_TIMEOUT,
+            None => stream.last_response_at() + IDLE_TIMEOUT,
         };
-        Some((due, End::Overdue))
+        Some((deadline, CloseReason::TimedOut))
     };
-    let mut alarm = std::pin::pin!(sleep(Duration::ZERO));
-    // What is waited for changes with the parser's turns, and each is one of this task's.
+    let mut timer = std::pin::pin!(sleep(Duration::ZERO));
+    // The deadline changes only when this task polls the parser, and every poll of the task gets here as well.
     poll_fn(|context| {
-        let Some((at, end)) = due() else { return std::task::Poll::Pending };
-        if alarm.deadline() != at {
-            alarm.as_mut().reset(at);
+        let Some((at, reason)) = deadline() else { return std::task::Poll::Pending };
+        if timer.deadline() != at {
+            timer.as_mut().reset(at);
         }
-        alarm.as_mut().poll(context).map(|()| end)
+        timer.as_mut().poll(context).map(|()| reason)
     })
     .await
 }
 
-/// Resolves while slots are scarce for a connection that is still without its first request: others wait for
-/// its slot, and their time runs.
-async fn shed(course: &Course, scarcity: impl Fn() -> bool) {
+/// Resolves once slots are scarce and the connection has not received its first request within the timeout, so that
+/// waiting clients get its slot.
+async fn shed_when_scarce(progress: &RequestProgress, slots_scarce: impl Fn() -> bool) {
     loop {
-        sleep(FIRST_TIMEOUT).await;
-        if course.asked.get() {
+        sleep(FIRST_REQUEST_TIMEOUT).await;
+        if progress.request_seen.get() {
             std::future::pending().await
         }
-        if scarcity() {
+        if slots_scarce() {
             return;
         }
     }
 }
 
-/// Closes so that whatever was written arrives. While slots are scarce nobody is waited for.
+/// Closes the connection so that everything written is delivered. Does not wait for the peer while slots are scarce.
 async fn linger<Stream: AsyncRead + AsyncWrite + Unpin>(
     mut stream: ClientStream<Stream>,
-    scarcity: impl Fn() -> bool,
+    slots_scarce: impl Fn() -> bool,
 ) {
-    let closing = async {
-        if stream.shutdown().await.is_ok() && !scarcity() {
-            stream.discard(LINGER_MOST).await;
+    let close = async {
+        if stream.shutdown().await.is_ok() && !slots_scarce() {
+            stream.discard(MAX_LINGER_BYTES).await;
         }
     };
-    let _ = timeout(LINGER, closing).await;
+    let _ = timeout(LINGER_TIMEOUT, close).await;
 }
--- a/node/src/server/handler.rs
+++ b/node/src/server/handler.rs
@@ -1,4 +1,4 @@
-//! One request: reads it, hands it to the driver, and words the final answer.
+//! Handles one HTTP request: validates it, submits it to the driver, and builds the response.
 
 use std::convert::Infallible;
 
@@ -16,196 +16,207 @@
 use crate::driver::{Asked, Call, Node, Reply};
 use crate::upstream::MAX_BODY;
 
-/// A client counts its time from its send to the last byte of the answer, so the ways there and back come
-/// off: an answer that leaves as the budget ends comes to a client that has just given up.
-const ON_THE_WAY: Nanos = 4_000_000;
+/// Part of a client's time budget that is set aside for the network between client and node: a response sent at the very
+/// end of the budget would arrive too late.
+const ROUND_TRIP_ALLOWANCE_NS: Nanos = 4_000_000;
 
-const CALL_ID: &str = "x-call-id";
-const CALL_CLASS: &str = "x-call-class";
-const CALLER: &str = "x-caller";
-const BUDGET: &str = "x-budget-ms";
-const AGAIN: &str = "x-again";
-const COST: &str = "x-call-cost";
-const KEY: &str = "idempotency-key";
+const X_CALL_ID: &str = "x-call-id";
+const X_CALL_CLASS: &str = "x-call-class";
+const X_CALLER: &str = "x-caller";
+const X_BUDGET_MS: &str = "x-budget-ms";
+const X_AGAIN: &str = "x-again";
+const X_CALL_COST: &str = "x-call-cost";
+const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-type Answer = Response<Full<Bytes>>;
+type HttpResponse = Response<Full<Bytes>>;
 
-/// What is wrong with a request.
+/// Why a request is invalid.
 #[derive(Debug, thiserror::Error)]
-enum BadCall {
-    #[error("{0} is missing")]
-    Missing(&'static str),
-    #[error("{0} can't be read")]
-    Unreadable(&'static str),
-    #[error("{0} is not known")]
-    Unknown(&'static str),
-    #[error("this class takes {0} only")]
-    Method(Method),
-    #[error("{0} does not go with this class")]
-    Misplaced(&'static str),
-    #[error("the body is too large")]
-    TooLarge,
-    #[error("the body did not arrive")]
-    NoBody,
+enum RequestError {
+    #[error("missing header {0}")]
+    MissingHeader(&'static str),
+    #[error("invalid value of header {0}")]
+    InvalidHeader(&'static str),
+    #[error("unknown value of header {0}")]
+    UnknownValue(&'static str),
+    #[error("this class requires method {0}")]
+    MethodNotAllowed(Method),
+    #[error("{0} is not allowed for this class")]
+    NotAllowed(&'static str),
+    #[error("request body too large")]
+    BodyTooLarge,
+    #[error("request body incomplete or not received in time")]
+    BodyIncomplete,
 }
 
-impl BadCall {
+impl RequestError {
     fn status(&self) -> StatusCode {
         match self {
-            Self::Method(_) => StatusCode::METHOD_NOT_ALLOWED,
-            Self::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-            Self::NoBody => StatusCode::REQUEST_TIMEOUT,
+            Self::MethodNotAllowed(_) => StatusCode::METHOD_NOT_ALLOWED,
+            Self::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
+            Self::BodyIncomplete => StatusCode::REQUEST_TIMEOUT,
             _ => StatusCode::BAD_REQUEST,
         }
     }
 }
 
-/// Answers one request, whatever it is.
-pub async fn answer(
+/// Answers any request, by its path.
+pub async fn handle(
     node: &Node,
     request: Request<Incoming>,
-    whole_by: Instant,
+    read_deadline: Instant,
     phase: &watch::Receiver<ShutdownPhase>,
-) -> Result<Answer, Infallible> {
+) -> Result<HttpResponse, Infallible> {
     let serving = || *phase.borrow() == ShutdownPhase::Serving;
     let response_deadline = match *phase.borrow() {
         ShutdownPhase::Closing { response_deadline } => Some(response_deadline),
         ShutdownPhase::Serving | ShutdownPhase::Draining => None,
     };
-    // Only a client's connection is worth its slot: checks come on a new one each time, and hold the old ones.
-    let mut client = false;
+    // Only valid API requests keep their connection alive. Health checks open a new connection each time, and would fill
+    // the slots.
+    let mut keep_alive = false;
     let mut response = match request.uri().path() {
-        "/api" => match call(node, request, whole_by, response_deadline).await {
-            Ok(answer) => {
-                client = true;
-                answer
+        "/api" => match forward(node, request, read_deadline, response_deadline).await {
+            Ok(response) => {
+                keep_alive = true;
+                response
             }
-            Err(bad) => {
-                tracing::debug!(cause = %bad, "a bad request");
-                plain(bad.status(), &bad.to_string())
+            Err(error) => {
+                tracing::debug!(cause = %error, "invalid request rejected");
+                plain_response(error.status(), &error.to_string())
             }
         },
         "/health/ready" if request.method() != Method::GET => {
-            plain(StatusCode::METHOD_NOT_ALLOWED, "GET only")
+            plain_response(StatusCode::METHOD_NOT_ALLOWED, "GET only")
         }
-        "/health/ready" if !serving() => plain(StatusCode::SERVICE_UNAVAILABLE, "stopping"),
-        // Clients sent here now would all be refused.
+        "/health/ready" if !serving() => plain_response(StatusCode::SERVICE_UNAVAILABLE, "shutting down"),
+        // Without a backend every request would be rejected.
         "/health/ready" if !node.knows_backends() => {
-            plain(StatusCode::SERVICE_UNAVAILABLE, "no server known yet")
+            plain_response(StatusCode::SERVICE_UNAVAILABLE, "no backend known yet")
         }
-        "/health/ready" => plain(StatusCode::OK, "ready"),
+        "/health/ready" => plain_response(StatusCode::OK, "ready"),
         "/health/list" if node.list_state().is_some() && request.method() == Method::GET => {
-            plain(StatusCode::OK, &list_figures(node))
+            plain_response(StatusCode::OK, &list_status(node))
         }
-        _ => plain(StatusCode::NOT_FOUND, "no such path"),
+        _ => plain_response(StatusCode::NOT_FOUND, "not found"),
     };
-    if !client || !serving() {
+    if !keep_alive || !serving() {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     Ok(response)
 }
 
-/// How the list stands, for whoever looks after the node.
-fn list_figures(node: &Node) -> String {
+/// The state of the backend list, as JSON for operators.
+fn list_status(node: &Node) -> String {
     let Some(list) = node.list_state() else { return String::new() };
-    let since = |at: Option<Instant>| at.map(|at| at.elapsed().as_millis() as u64);
-    serde_json::json!({"rev": list.rev, "age_ms": since(list.as_of), "away_ms": since(list.away_since),
+    let elapsed_ms = |at: Option<Instant>| at.map(|at| at.elapsed().as_millis() as u64);
+    serde_json::json!({"rev": list.rev, "age_ms": elapsed_ms(list.as_of), "away_ms": elapsed_ms(list.away_since),
         "replica": list.replica.to_string()})
     .to_string()
 }
 
-async fn call(
+async fn forward(
     node: &Node,
     request: Request<Incoming>,
-    whole_by: Instant,
+    read_deadline: Instant,
     response_deadline: Option<Instant>,
-) -> Result<Answer, BadCall> {
-    let came = node.clock().now();
+) -> Result<HttpResponse, RequestError> {
+    let received_at = node.clock().now();
     let (head, body) = request.into_parts();
     let headers = &head.headers;
-    if required(headers, CALL_ID)?.is_empty() {
-        return Err(BadCall::Unreadable(CALL_ID));
+    if required_header(headers, X_CALL_ID)?.is_empty() {
+        return Err(RequestError::InvalidHeader(X_CALL_ID));
     }
-    let class = required(headers, CALL_CLASS)?;
-    let (class, deadline, effect) = node.class(class).ok_or(BadCall::Unknown(CALL_CLASS))?;
-    check_form(&head.method, headers, effect)?;
-    let tenant = node.tenant(single(headers, CALLER)?).map_err(|_| BadCall::Unknown(CALLER))?;
-    let whole = |name, text: &str| text.parse::<u64>().map_err(|_| BadCall::Unreadable(name));
-    let budget = whole(BUDGET, required(headers, BUDGET)?)?;
-    let hint = single(headers, COST)?.map(|text| whole(COST, text)).transpose()?;
-    let repeat = single(headers, AGAIN)? == Some("1");
-    let body = read(body, whole_by).await?;
-    if effect == Idempotency::Idempotent && !body.is_empty() {
-        return Err(BadCall::Misplaced("a body"));
+    let class = required_header(headers, X_CALL_CLASS)?;
+    let (class, deadline, idempotency) = node.class(class).ok_or(RequestError::UnknownValue(X_CALL_CLASS))?;
+    check_method_and_key(&head.method, headers, idempotency)?;
+    let tenant =
+        node.tenant(optional_header(headers, X_CALLER)?).map_err(|_| RequestError::UnknownValue(X_CALLER))?;
+    let parse_u64 = |name, text: &str| text.parse::<u64>().map_err(|_| RequestError::InvalidHeader(name));
+    let budget = parse_u64(X_BUDGET_MS, required_header(headers, X_BUDGET_MS)?)?;
+    let cost_hint =
+        optional_header(headers, X_CALL_COST)?.map(|text| parse_u64(X_CALL_COST, text)).transpose()?;
+    let repeat = optional_header(headers, X_AGAIN)? == Some("1");
+    let body = read_body(body, read_deadline).await?;
+    if idempotency == Idempotency::Idempotent && !body.is_empty() {
+        return Err(RequestError::NotAllowed("request body"));
     }
-    // The first read of a connection does not tell whether its end is there already: what has come by now is heard
-    // before anything is done for a client that may have gone.
+    // The read that completes a request does not show whether the client has closed its connection since. Yields so that
+    // such a close is noticed before an attempt is made.
     yield_now().await;
-    let spent: Nanos = node.clock().now().saturating_sub(came);
-    let budget = time_left(budget, deadline, spent);
-    let stays = response_deadline.map(|at| at.saturating_duration_since(Instant::now()).as_nanos() as Nanos);
+    let elapsed: Nanos = node.clock().now().saturating_sub(received_at);
+    let budget = remaining_budget(budget, deadline, elapsed);
+    let time_to_deadline =
+        response_deadline.map(|at| at.saturating_duration_since(Instant::now()).as_nanos() as Nanos);
     let asked = Asked {
         class,
         tenant,
-        hint: hint.map(|micros| micros.saturating_mul(1000)),
+        hint: cost_hint.map(|micros| micros.saturating_mul(1000)),
         repeat,
-        budget: stays.map_or(budget, |stays| budget.min(stays)),
-        call: Call { method: head.method, target: head.uri, headers: end_to_end(head.headers), body },
+        budget: time_to_deadline.map_or(budget, |limit| budget.min(limit)),
+        call: Call { method: head.method, target: head.uri, headers: remove_hop_by_hop(head.headers), body },
     };
-    Ok(worded(node.submit(asked).answer().await))
+    Ok(to_response(node.submit(asked).answer().await))
 }
 
-/// What is left here of a budget in milliseconds; no client waits for longer than its class's deadline.
-pub(super) fn time_left(budget_ms: u64, deadline: Nanos, spent: Nanos) -> Nanos {
-    budget_ms.saturating_mul(1_000_000).min(deadline).saturating_sub(spent.saturating_add(ON_THE_WAY))
+/// The time left of a client's budget, which is capped at its class's deadline.
+pub(super) fn remaining_budget(budget_ms: u64, deadline: Nanos, elapsed: Nanos) -> Nanos {
+    budget_ms
+        .saturating_mul(1_000_000)
+        .min(deadline)
+        .saturating_sub(elapsed.saturating_add(ROUND_TRIP_ALLOWANCE_NS))
 }
 
-async fn read(body: Incoming, whole_by: Instant) -> Result<Bytes, BadCall> {
-    match timeout_at(whole_by, Limited::new(body, MAX_BODY).collect()).await {
-        Ok(Ok(whole)) => Ok(whole.to_bytes()),
-        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(BadCall::TooLarge),
-        Ok(Err(_)) | Err(_) => Err(BadCall::NoBody),
+async fn read_body(body: Incoming, read_deadline: Instant) -> Result<Bytes, RequestError> {
+    match timeout_at(read_deadline, Limited::new(body, MAX_BODY).collect()).await {
+        Ok(Ok(collected)) => Ok(collected.to_bytes()),
+        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(RequestError::BodyTooLarge),
+        Ok(Err(_)) | Err(_) => Err(RequestError::BodyIncomplete),
     }
 }
 
-/// A header that may stand once at most.
-fn single<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<Option<&'a str>, BadCall> {
+/// The value of a header that may occur at most once.
+fn optional_header<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<Option<&'a str>, RequestError> {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else { return Ok(None) };
     if values.next().is_some() {
-        return Err(BadCall::Unreadable(name));
+        return Err(RequestError::InvalidHeader(name));
     }
-    value.to_str().map(|text| Some(text.trim())).map_err(|_| BadCall::Unreadable(name))
+    value.to_str().map(|text| Some(text.trim())).map_err(|_| RequestError::InvalidHeader(name))
 }
 
-fn required<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<&'a str, BadCall> {
-    single(headers, name)?.ok_or(BadCall::Missing(name))
+fn required_header<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<&'a str, RequestError> {
+    optional_header(headers, name)?.ok_or(RequestError::MissingHeader(name))
 }
 
-/// The method and the key follow from the class.
-fn check_form(method: &Method, headers: &HeaderMap, effect: Idempotency) -> Result<(), BadCall> {
-    let wanted = if effect == Idempotency::Idempotent { Method::GET } else { Method::POST };
-    if *method != wanted {
-        return Err(BadCall::Method(wanted));
+/// Checks that the method and the idempotency key are those that the class requires.
+fn check_method_and_key(
+    method: &Method,
+    headers: &HeaderMap,
+    idempotency: Idempotency,
+) -> Result<(), RequestError> {
+    let expected = if idempotency == Idempotency::Idempotent { Method::GET } else { Method::POST };
+    if *method != expected {
+        return Err(RequestError::MethodNotAllowed(expected));
     }
-    match (effect, single(headers, KEY)?) {
-        (Idempotency::Keyed { .. }, None | Some("")) => Err(BadCall::Missing(KEY)),
+    match (idempotency, optional_header(headers, IDEMPOTENCY_KEY)?) {
+        (Idempotency::Keyed { .. }, None | Some("")) => Err(RequestError::MissingHeader(IDEMPOTENCY_KEY)),
         (Idempotency::Keyed { .. }, Some(_)) | (_, None) => Ok(()),
-        (_, Some(_)) => Err(BadCall::Misplaced(KEY)),
+        (_, Some(_)) => Err(RequestError::NotAllowed(IDEMPOTENCY_KEY)),
     }
 }
 
-/// The headers that go on: all but those that speak of this one connection. The framing is made anew.
-fn end_to_end(mut headers: HeaderMap) -> HeaderMap {
-    let named: Vec<HeaderName> = headers
+/// Removes the hop-by-hop headers and those of message framing, which is set anew for each attempt.
+fn remove_hop_by_hop(mut headers: HeaderMap) -> HeaderMap {
+    let connection_options: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
-        .filter(|name| *name != CALL_ID && *name != KEY)
+        .filter(|name| *name != X_CALL_ID && *name != IDEMPOTENCY_KEY)
         .collect();
-    let hop = [
+    let hop_by_hop = [
         header::CONNECTION,
         header::CONTENT_LENGTH,
         header::EXPECT,
@@ -217,20 +228,20 @@
         header::UPGRADE,
         HeaderName::from_static("keep-alive"),
     ];
-    for name in named.into_iter().chain(hop) {
+    for name in connection_options.into_iter().chain(hop_by_hop) {
         headers.remove(name);
     }
     headers
 }
 
-fn worded(reply: Reply) -> Answer {
+fn to_response(reply: Reply) -> HttpResponse {
     match reply {
         Reply::Served(body) => Response::new(Full::new(body)),
-        Reply::Refused(pause) => {
-            let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused; trying again does no harm");
-            if pause > 0 {
-                // Never sooner than the module said: decimals are cut, so round up.
-                let text = format!("{:.3}", pause.div_ceil(1_000_000) as f64 / 1000.0);
+        Reply::Refused(retry_after) => {
+            let mut response = plain_response(StatusCode::SERVICE_UNAVAILABLE, "rejected; safe to retry");
+            if retry_after > 0 {
+                // Rounded up, so that the client does not retry too early.
+                let text = format!("{:.3}", retry_after.div_ceil(1_000_000) as f64 / 1000.0);
                 let value = HeaderValue::from_str(&text);
                 value.into_iter().for_each(|value| {
                     response.headers_mut().insert(header::RETRY_AFTER, value);
@@ -238,11 +249,11 @@
             }
             response
         }
-        Reply::Failed => plain(StatusCode::BAD_GATEWAY, "failed"),
+        Reply::Failed => plain_response(StatusCode::BAD_GATEWAY, "failed"),
     }
 }
 
-fn plain(status: StatusCode, text: &str) -> Answer {
+fn plain_response(status: StatusCode, text: &str) -> HttpResponse {
     let mut response = Response::new(Full::new(Bytes::copy_from_slice(text.as_bytes())));
     *response.status_mut() = status;
     response
--- a/node/src/server/mod.rs
+++ b/node/src/server/mod.rs
@@ -1,7 +1,7 @@
-//! The clients' side: takes connections, reads requests, waits for each one's final answer and writes it.
+//! The HTTP server for clients.
 //!
-//! This file holds the listener's part. Beside it: `connection`, one connection up to its close; `handler`, one request;
-//! `stream`, a client's socket; `phase`, how far a shutdown is.
+//! This module accepts connections. Its submodules: `connection` serves one connection until it is closed, `handler`
+//! answers one request, `stream` wraps a client's socket, `phase` holds the state of a graceful shutdown.
 
 mod connection;
 mod handler;
@@ -25,94 +25,106 @@
 use crate::upstream::without_delay;
 pub use phase::ShutdownPhase;
 
-/// So long after the last connection has ended another one may have been opened while the node drains.
-const LAST_ONES: Duration = Duration::from_millis(100);
-/// Wait before the next accept after one failed: out of descriptors, the next would fail at once.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
-/// Slots are scarce once no more than one in this many is free.
-const SCARCE: usize = 8;
+/// How long the node goes on accepting after the last connection was closed during a shutdown.
+const LATE_CONNECTION_GRACE: Duration = Duration::from_millis(100);
+/// Delay before the next accept after one failed: without free file descriptors it would fail again at once.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Connection slots are scarce once at most one in this many is free.
+const SCARCE_SLOT_DIVISOR: usize = 8;
 
-/// How many connections are open.
+/// The number of open connections.
 #[derive(Default)]
-struct Open {
+struct OpenConnections {
     count: Cell<usize>,
-    fewer: Notify,
+    closed: Notify,
 }
 
-/// Counts a connection for as long as it is open.
-struct Counted(Rc<Open>);
+/// Counts a connection as open until dropped.
+struct ConnectionGuard(Rc<OpenConnections>);
 
-impl Counted {
-    fn new(open: &Rc<Open>) -> Self {
+impl ConnectionGuard {
+    fn new(open: &Rc<OpenConnections>) -> Self {
         open.count.set(open.count.get() + 1);
         Self(open.clone())
     }
 }
 
-impl Drop for Counted {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.count.set(self.0.count.get().saturating_sub(1));
-        self.0.fewer.notify_one();
+        self.0.closed.notify_one();
     }
 }
 
-/// Serves until the phase is [`ShutdownPhase::Closing`] and all connections have ended. At most `most` are open.
-pub async fn run(listener: TcpListener, node: Node, most: usize, phase: watch::Receiver<ShutdownPhase>) {
-    let slots = Arc::new(Semaphore::new(most));
-    let open = Rc::new(Open::default());
-    let scarce = most / SCARCE;
-    let accepting = async {
+/// Serves until the phase is [`ShutdownPhase::Closing`] and all connections are closed. At most `max_connections`
+/// are open at a time.
+pub async fn run(
+    listener: TcpListener,
+    node: Node,
+    max_connections: usize,
+    phase: watch::Receiver<ShutdownPhase>,
+) {
+    let slots = Arc::new(Semaphore::new(max_connections));
+    let open = Rc::new(OpenConnections::default());
+    let scarce_threshold = max_connections / SCARCE_SLOT_DIVISOR;
+    let accept_loop = async {
         loop {
             let Ok(slot) = slots.clone().acquire_owned().await else { return };
             match listener.accept().await {
                 Ok((stream, _)) => {
                     let slots = slots.clone();
-                    let scarcity = move || slots.available_permits() <= scarce;
-                    welcome(stream, &node, (slot, Counted::new(&open)), &phase, scarcity);
+                    let slots_scarce = move || slots.available_permits() <= scarce_threshold;
+                    spawn_connection(
+                        stream,
+                        &node,
+                        (slot, ConnectionGuard::new(&open)),
+                        &phase,
+                        slots_scarce,
+                    );
                 }
-                // Others wait in the queue behind it.
+                // Only this connection is affected; the next accept may succeed.
                 Err(error) if is_of_one_connection(&error) => {
-                    tracing::debug!(cause = %error, "a connection ended before it was accepted");
+                    tracing::debug!(cause = %error, "client connection failed before it was accepted");
                     yield_now().await;
                 }
                 Err(error) => {
-                    tracing::warn!(cause = %error, "accept failed");
-                    sleep(ACCEPT_AGAIN).await;
+                    tracing::warn!(cause = %error, "accept failed; retrying");
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
     };
     let mut phases = phase.clone();
-    let all_ended = async {
+    let all_closed = async {
         let _ = phases.wait_for(ShutdownPhase::is_closing).await;
         loop {
-            // Whoever comes as the last one leaves is in the backlog by then.
-            sleep(LAST_ONES).await;
+            // A client that connected as the last connection closed is in the backlog by then.
+            sleep(LATE_CONNECTION_GRACE).await;
             if open.count.get() == 0 {
                 return;
             }
-            open.fewer.notified().await;
+            open.closed.notified().await;
         }
     };
-    // The accept is polled first: what waits in the backlog is taken before the listener goes.
+    // Polls the accept loop first, so that the backlog is drained before the listener is closed.
     tokio::select! {
         biased;
-        () = accepting => {}
-        () = all_ended => {}
+        () = accept_loop => {}
+        () = all_closed => {}
     }
 }
 
-fn welcome<Held: 'static>(
+fn spawn_connection<Guard: 'static>(
     stream: TcpStream,
     node: &Node,
-    held: Held,
+    guard: Guard,
     phase: &watch::Receiver<ShutdownPhase>,
-    scarcity: impl Fn() -> bool + 'static,
+    slots_scarce: impl Fn() -> bool + 'static,
 ) {
     let (node, phase) = (node.clone(), phase.clone());
     spawn_local(async move {
-        let _held = held;
+        let _guard = guard;
         without_delay(&stream);
-        connection::serve(stream, node, phase, scarcity).await;
+        connection::serve(stream, node, phase, slots_scarce).await;
     });
 }
--- a/node/src/server/phase.rs
+++ b/node/src/server/phase.rs
@@ -1,18 +1,17 @@
-//! How far a shutdown is, which the listener and each connection heed.
+//! The state of a graceful shutdown, which the listener and every client connection watch.
 
 use tokio::time::Instant;
 
-/// How far the node's graceful shutdown is.
+/// A stage of the node's graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShutdownPhase {
     /// In service.
     Serving,
-    /// Takes all that comes; each answer ends its connection.
+    /// Connections and requests are still accepted, and each response closes its connection.
     Draining,
-    /// Closes connections on which nothing is going on. What still comes is taken all the same: whoever has a
-    /// connection goes on using it.
+    /// Idle connections are closed. Connections and requests are still accepted: a client may already be sending one.
     Closing {
-        /// What comes from now on is answered by then: the process may be killed.
+        /// When the response to a new request is due at the latest: the process may be killed after it.
         response_deadline: Instant,
     },
 }
--- a/node/src/server/tests.rs
+++ b/node/src/server/tests.rs
@@ -1,7 +1,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 use super::connection::serve;
-use super::handler::time_left;
+use super::handler::remaining_budget;
 use super::*;
 use crate::driver;
 use crate::driver::tests::{SECOND, listed};
@@ -125,7 +125,7 @@
     let (node, _) = driver::tests::node(0);
     let mut got = String::new();
     let serve = async {
-        welcome(stream, &node, slot, &phases, || false);
+        spawn_connection(stream, &node, slot, &phases, || false);
         peer.write_all(CHECK.as_bytes()).await.expect("the node still reads");
         peer.read_to_string(&mut got).await.expect("an answer and the end");
     };
@@ -206,11 +206,11 @@
 /// Guards against answers that leave when the client's time is up and so come too late.
 #[test]
 fn the_ways_there_and_back_come_off_a_budget() {
-    assert_eq!(time_left(200, 500 * MS, 0), 196 * MS);
-    assert_eq!(time_left(200, 500 * MS, 10 * MS), 186 * MS);
-    assert_eq!(time_left(9000, 500 * MS, 0), 496 * MS);
-    assert_eq!(time_left(3, 500 * MS, 0), 0);
-    assert_eq!(time_left(u64::MAX, u64::MAX, u64::MAX), 0);
+    assert_eq!(remaining_budget(200, 500 * MS, 0), 196 * MS);
+    assert_eq!(remaining_budget(200, 500 * MS, 10 * MS), 186 * MS);
+    assert_eq!(remaining_budget(9000, 500 * MS, 0), 496 * MS);
+    assert_eq!(remaining_budget(3, 500 * MS, 0), 0);
+    assert_eq!(remaining_budget(u64::MAX, u64::MAX, u64::MAX), 0);
 }
 
 fn with_budget(text: &str, ms: u64) -> String {
