--- a/node/src/server/tests.rs
+++ b/node/src/server/tests.rs
@@ -10,202 +10,202 @@
 
 const MS: Nanos = 1_000_000;
 
-/// What a connection brings back until the node closes it, and how long that took on the paused clock.
-/// Each text is written a second after the one before. The node has no backends, and refuses.
-async fn until_closed(scarce: bool, texts: &[&str]) -> (String, Duration) {
+/// Writes the texts to a connection, one second apart, and returns what was read until the node closed it, with the time
+/// that took on the paused clock. The node has no backends, and rejects every request.
+async fn exchange_until_closed(slots_scarce: bool, texts: &[&str]) -> (String, Duration) {
     let (phase, _) = watch::channel(ShutdownPhase::Serving);
-    talk_in(&phase, scarce, texts, Duration::from_secs(1)).await
+    exchange_in_phase(&phase, slots_scarce, texts, Duration::from_secs(1)).await
 }
 
-/// The same in any phase, and with another time between the texts.
-async fn talk_in(
+/// Like `exchange_until_closed`, with a given phase and interval between the texts.
+async fn exchange_in_phase(
     phase: &watch::Sender<ShutdownPhase>,
-    scarce: bool,
+    slots_scarce: bool,
     texts: &[&str],
-    apart: Duration,
+    interval: Duration,
 ) -> (String, Duration) {
     let (mut peer, stream) = tokio::io::duplex(4096);
     let began = Instant::now();
     let (node, _) = driver::tests::node(0);
     let client = async move {
         for text in texts {
-            // One that is closed meanwhile is read to its end all the same.
+            // Reads to the end even if the node has closed the connection.
             let _ = peer.write_all(text.as_bytes()).await;
-            sleep(apart).await;
+            sleep(interval).await;
         }
-        let mut got = String::new();
-        let _ = peer.read_to_string(&mut got).await;
-        // Whoever sees the close closes as well.
+        let mut received = String::new();
+        let _ = peer.read_to_string(&mut received).await;
+        // A client closes its side once it has seen the node's close.
         drop(peer);
-        got
+        received
     };
     let phases = phase.subscribe();
-    let talk = async { tokio::join!(client, serve(stream, node.clone(), phases, || scarce)).0 };
-    let got = tokio::select! {
-        got = talk => got,
-        () = node.run_timers() => unreachable!("timers run for ever"),
+    let exchange = async { tokio::join!(client, serve(stream, node.clone(), phases, || slots_scarce)).0 };
+    let received = tokio::select! {
+        received = exchange => received,
+        () = node.run_timers() => unreachable!("timers never end"),
     };
-    (got, began.elapsed())
+    (received, began.elapsed())
 }
 
 fn closing() -> ShutdownPhase {
     ShutdownPhase::Closing { response_deadline: Instant::now() + Duration::from_secs(9) }
 }
 
-/// Turns to closing after this long.
-async fn close_after(phase: &watch::Sender<ShutdownPhase>, span: Duration) {
-    sleep(span).await;
+/// Sets the phase to closing after the delay, then never resolves.
+async fn start_closing_after(phase: &watch::Sender<ShutdownPhase>, delay: Duration) {
+    sleep(delay).await;
     phase.send_replace(closing());
     std::future::pending().await
 }
 
-/// A head that had come by half was dropped with its connection, and its request was lost.
+/// Guards against losing a request whose head was only partly received when closing began.
 #[tokio::test(start_paused = true)]
-async fn a_request_that_has_begun_to_come_is_taken_while_the_node_closes() {
+async fn a_partly_received_request_is_served_while_the_node_closes() {
     let (phase, _) = watch::channel(ShutdownPhase::Serving);
-    let (first, rest) = CALL.split_at(30);
-    let texts = [CALL, first, rest];
-    let got = tokio::select! {
-        talked = talk_in(&phase, false, &texts, Duration::from_millis(400)) => talked.0,
-        () = close_after(&phase, Duration::from_millis(600)) => unreachable!("it pends"),
+    let (first, rest) = API_REQUEST.split_at(30);
+    let texts = [API_REQUEST, first, rest];
+    let received = tokio::select! {
+        result = exchange_in_phase(&phase, false, &texts, Duration::from_millis(400)) => result.0,
+        () = start_closing_after(&phase, Duration::from_millis(600)) => unreachable!("never resolves"),
     };
-    assert_eq!(got.matches("HTTP/1.1 503 ").count(), 2, "{got}");
-    assert!(got.to_lowercase().contains("connection: close"), "{got}");
+    assert_eq!(received.matches("HTTP/1.1 503 ").count(), 2, "{received}");
+    assert!(received.to_lowercase().contains("connection: close"), "{received}");
 }
 
-/// Clients go on using what stays open, up to the end: what came last found nobody to answer.
+/// Guards against connections that stay open to the end of a shutdown, whose last requests would be lost.
 #[tokio::test(start_paused = true)]
-async fn connections_without_a_request_are_closed_soon_during_a_shutdown() {
+async fn idle_connections_are_closed_promptly_during_shutdown() {
     let (phase, _) = watch::channel(ShutdownPhase::Draining);
-    let (got, took) = tokio::select! {
-        talked = talk_in(&phase, false, &[], Duration::ZERO) => talked,
-        () = close_after(&phase, Duration::from_millis(100)) => unreachable!("it pends"),
+    let (received, took) = tokio::select! {
+        result = exchange_in_phase(&phase, false, &[], Duration::ZERO) => result,
+        () = start_closing_after(&phase, Duration::from_millis(100)) => unreachable!("never resolves"),
     };
-    assert_eq!(got, "");
-    assert!(took <= Duration::from_millis(300), "one that came during the shutdown: {took:?}");
+    assert_eq!(received, "");
+    assert!(took <= Duration::from_millis(300), "opened during the shutdown: {took:?}");
     let (phase, _) = watch::channel(ShutdownPhase::Serving);
     let (_, took) = tokio::select! {
-        talked = talk_in(&phase, false, &[CALL], Duration::ZERO) => talked,
-        () = close_after(&phase, Duration::from_millis(100)) => unreachable!("it pends"),
+        result = exchange_in_phase(&phase, false, &[API_REQUEST], Duration::ZERO) => result,
+        () = start_closing_after(&phase, Duration::from_millis(100)) => unreachable!("never resolves"),
     };
-    assert!(took <= Duration::from_millis(110), "one that had asked before: {took:?}");
+    assert!(took <= Duration::from_millis(110), "opened before the shutdown: {took:?}");
 }
 
-/// One that comes late, on a connection that had stayed open, was still out when the process ended.
+/// Guards against a request that arrives late in a shutdown and is still pending when the process is killed.
 #[tokio::test(start_paused = true)]
-async fn what_comes_during_a_shutdown_is_answered_before_the_node_may_be_killed() {
-    let (node, _launches) = driver::tests::node(SECOND);
+async fn a_request_during_shutdown_is_answered_by_the_response_deadline() {
+    let (node, _launcher) = driver::tests::node(SECOND);
     node.fleet(ListScope::Full, vec![listed("s", Stage::InService)]);
     let (mut peer, stream) = tokio::io::duplex(4096);
     let response_deadline = Instant::now() + Duration::from_millis(300);
     let (_phase, phases) = watch::channel(ShutdownPhase::Closing { response_deadline });
     let client = async {
-        peer.write_all(CALL.replace("X-Budget-Ms: 1\r", "X-Budget-Ms: 900\r").as_bytes())
+        peer.write_all(API_REQUEST.replace("X-Budget-Ms: 1\r", "X-Budget-Ms: 900\r").as_bytes())
             .await
-            .expect("taken");
-        let mut got = String::new();
-        let _ = peer.read_to_string(&mut got).await;
-        (got, Instant::now())
+            .expect("write succeeds");
+        let mut received = String::new();
+        let _ = peer.read_to_string(&mut received).await;
+        (received, Instant::now())
     };
-    let talk = async { tokio::join!(client, serve(stream, node.clone(), phases, || false)).0 };
-    let (got, at) = tokio::select! {
-        got = talk => got,
-        () = node.run_timers() => unreachable!("timers run for ever"),
+    let exchange = async { tokio::join!(client, serve(stream, node.clone(), phases, || false)).0 };
+    let (received, at) = tokio::select! {
+        received = exchange => received,
+        () = node.run_timers() => unreachable!("timers never end"),
     };
-    assert!(got.starts_with("HTTP/1.1 502 "), "{got}");
+    assert!(received.starts_with("HTTP/1.1 502 "), "{received}");
     assert!(at <= response_deadline + Duration::from_millis(30), "{:?} late", at - response_deadline);
 }
 
-/// Serves whole what a socket of another family brings, which has no such option as TCP's.
+/// Guards against dropping a connection because setting `TCP_NODELAY` failed.
 #[tokio::test]
-async fn a_connection_that_takes_no_option_is_served() {
+async fn a_connection_without_tcp_options_is_served() {
     let (mut peer, stream) = driver::tests::optionless();
     let slot = Arc::new(Semaphore::new(1)).acquire_owned().await.expect("a slot");
     let (_phase, phases) = watch::channel(ShutdownPhase::Serving);
     let (node, _) = driver::tests::node(0);
-    let mut got = String::new();
+    let mut received = String::new();
     let serve = async {
         spawn_connection(stream, &node, slot, &phases, || false);
-        peer.write_all(CHECK.as_bytes()).await.expect("the node still reads");
-        peer.read_to_string(&mut got).await.expect("an answer and the end");
+        peer.write_all(HEALTH_CHECK.as_bytes()).await.expect("the node still reads");
+        peer.read_to_string(&mut received).await.expect("a response and the close");
     };
     tokio::task::LocalSet::new().run_until(serve).await;
-    assert!(got.starts_with("HTTP/1.1 503 "), "{got:?}");
+    assert!(received.starts_with("HTTP/1.1 503 "), "{received:?}");
 }
 
-const CALL: &str =
+const API_REQUEST: &str =
     "POST /api HTTP/1.1\r\nX-Call-Id: 1\r\nX-Call-Class: pay\r\nX-Budget-Ms: 1\r\nContent-Length: 0\r\n\r\n";
-const CHECK: &str = "GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n";
+const HEALTH_CHECK: &str = "GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n";
 
-const OWED: Duration = Duration::from_secs(3);
+const CLOSE_DEADLINE: Duration = Duration::from_secs(3);
 
-/// Idle connections once kept all slots for half a minute, and no client was let in meanwhile.
+/// Guards against idle connections that fill the slots and keep other clients out.
 #[tokio::test(start_paused = true)]
-async fn a_connection_with_nothing_to_ask_is_closed_soon() {
-    let (got, took) = until_closed(false, &[CALL]).await;
-    assert!(got.starts_with("HTTP/1.1 503 "), "{got}");
-    assert!((Duration::from_secs(2)..OWED).contains(&took), "{took:?}");
-    let (got, took) = until_closed(false, &[]).await;
-    assert_eq!(got, "");
-    assert!((Duration::from_secs(2)..OWED).contains(&took), "{took:?}");
+async fn an_idle_connection_is_closed_after_the_idle_timeout() {
+    let (received, took) = exchange_until_closed(false, &[API_REQUEST]).await;
+    assert!(received.starts_with("HTTP/1.1 503 "), "{received}");
+    assert!((Duration::from_secs(2)..CLOSE_DEADLINE).contains(&took), "{took:?}");
+    let (received, took) = exchange_until_closed(false, &[]).await;
+    assert_eq!(received, "");
+    assert!((Duration::from_secs(2)..CLOSE_DEADLINE).contains(&took), "{took:?}");
 }
 
-/// Each check comes on a connection of its own; in bursts they took all slots for as long as they stayed.
+/// Guards against health checks that fill the slots: each opens a connection of its own.
 #[tokio::test(start_paused = true)]
-async fn what_is_no_call_ends_its_connection() {
+async fn only_valid_api_requests_keep_their_connection_alive() {
     for (status, text) in
-        [("503", CHECK), ("404", "GET /other HTTP/1.1\r\n\r\n"), ("400", "POST /api HTTP/1.1\r\n\r\n")]
+        [("503", HEALTH_CHECK), ("404", "GET /other HTTP/1.1\r\n\r\n"), ("400", "POST /api HTTP/1.1\r\n\r\n")]
     {
-        let (got, took) = until_closed(false, &[text]).await;
-        assert!(got.starts_with(&format!("HTTP/1.1 {status} ")), "{got}");
-        // The second is the peer's own, after its text.
+        let (received, took) = exchange_until_closed(false, &[text]).await;
+        assert!(received.starts_with(&format!("HTTP/1.1 {status} ")), "{received}");
+        // The helper waits for one second after the text.
         assert!(took < Duration::from_millis(1100), "{took:?}");
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_request_that_does_not_arrive_whole_is_ended_soon() {
+async fn an_incomplete_request_times_out() {
     let head = "POST /api HTTP/1.1\r\nX-Call-Id: 1\r\nX-Call-Class: pay\r\nX-Budget-Ms: 900\r\n";
-    let (_, took) = until_closed(false, &["POST /api", " HTTP/1.1"]).await;
-    assert!(took < OWED, "{took:?}");
-    let (got, took) = until_closed(false, &[head, "Content-Length: 9\r\n\r\nhalf"]).await;
-    assert!(got.starts_with("HTTP/1.1 408 "), "{got}");
-    assert!(took < OWED, "{took:?}");
+    let (_, took) = exchange_until_closed(false, &["POST /api", " HTTP/1.1"]).await;
+    assert!(took < CLOSE_DEADLINE, "{took:?}");
+    let (received, took) = exchange_until_closed(false, &[head, "Content-Length: 9\r\n\r\nhalf"]).await;
+    assert!(received.starts_with("HTTP/1.1 408 "), "{received}");
+    assert!(took < CLOSE_DEADLINE, "{took:?}");
 }
 
-/// A burst of peers that ask nothing once kept clients waiting in the backlog past their time.
+/// Guards against connections without a request that keep clients waiting in the backlog past their deadline.
 #[tokio::test(start_paused = true)]
-async fn a_connection_without_a_request_makes_room_while_slots_are_scarce() {
-    let (got, took) = until_closed(true, &[]).await;
-    assert_eq!(got, "");
+async fn a_connection_without_a_request_is_shed_while_slots_are_scarce() {
+    let (received, took) = exchange_until_closed(true, &[]).await;
+    assert_eq!(received, "");
     assert!(took < Duration::from_millis(500), "{took:?}");
-    let (got, took) = until_closed(true, &[CALL]).await;
-    assert!(got.starts_with("HTTP/1.1 503 "), "{got}");
-    assert!(took >= Duration::from_secs(2), "one that has asked may be a client: {took:?}");
+    let (received, took) = exchange_until_closed(true, &[API_REQUEST]).await;
+    assert!(received.starts_with("HTTP/1.1 503 "), "{received}");
+    assert!(took >= Duration::from_secs(2), "a connection that has sent a request is kept: {took:?}");
 }
 
-/// The answer stays in the way of everything else, so nothing that the connection waits for ever comes.
+/// Guards against holding a connection for ever whose response can't be written.
 #[tokio::test(start_paused = true)]
-async fn a_client_that_does_not_read_is_let_go() {
+async fn a_client_that_does_not_read_its_response_is_closed() {
     let (mut peer, stream) = tokio::io::duplex(64);
     let (_phase, phases) = watch::channel(ShutdownPhase::Serving);
     let (node, _) = driver::tests::node(0);
-    let talk = serve(stream, node, phases, || false);
+    let exchange = serve(stream, node, phases, || false);
     let ask = async {
-        peer.write_all(CHECK.as_bytes()).await.expect("taken");
+        peer.write_all(HEALTH_CHECK.as_bytes()).await.expect("write succeeds");
         std::future::pending().await
     };
     tokio::select! {
         biased;
-        () = talk => {}
+        () = exchange => {}
         () = ask => {}
-        () = sleep(Duration::from_secs(60)) => panic!("still held"),
+        () = sleep(Duration::from_secs(60)) => panic!("the connection is still open"),
     }
 }
 
-/// Guards against answers that leave when the client's time is up and so come too late.
+/// Guards against responses sent at the very end of the budget, which reach the client too late.
 #[test]
-fn the_ways_there_and_back_come_off_a_budget() {
+fn the_round_trip_allowance_is_deducted_from_the_budget() {
     assert_eq!(remaining_budget(200, 500 * MS, 0), 196 * MS);
     assert_eq!(remaining_budget(200, 500 * MS, 10 * MS), 186 * MS);
     assert_eq!(remaining_budget(9000, 500 * MS, 0), 496 * MS);
@@ -217,154 +217,164 @@
     text.replace("X-Budget-Ms: 1\r", &format!("X-Budget-Ms: {ms}\r"))
 }
 
-/// Idle clients that rest until the node ends them held their slots for as long as an answer's last bytes are waited for.
+/// Guards against a lingering close of idle connections, which holds their slots for longer.
 #[tokio::test(start_paused = true)]
-async fn a_connection_closed_as_idle_frees_its_slot_at_once() {
-    for asks in [true, false] {
+async fn an_idle_connection_is_closed_without_lingering() {
+    for sends_request in [true, false] {
         let (mut peer, stream) = tokio::io::duplex(4096);
         let (_phase, phases) = watch::channel(ShutdownPhase::Serving);
         let (node, _) = driver::tests::node(0);
         let began = Instant::now();
-        if asks {
-            peer.write_all(CALL.as_bytes()).await.expect("taken");
+        if sends_request {
+            peer.write_all(API_REQUEST.as_bytes()).await.expect("write succeeds");
         }
         tokio::select! {
             () = serve(stream, node.clone(), phases, || false) => {}
-            () = node.run_timers() => unreachable!("timers run for ever"),
+            () = node.run_timers() => unreachable!("timers never end"),
         }
         assert!(began.elapsed() < Duration::from_millis(2250), "{:?}", began.elapsed());
         drop(peer);
     }
 }
 
-/// The parser held bytes of a next request, and looked no further: what its client had left behind was sent on.
+/// Guards against a parser that stops reading while it holds bytes of a next request, and so misses the close.
 #[tokio::test(start_paused = true)]
-async fn a_client_that_has_gone_is_noticed_behind_whatever_it_sent() {
-    let begun = ["", "POST /api HTTP/1.1\r\nX-Call-Id: 2", CALL, "\r\n"];
-    for behind in begun {
-        for apart in [false, true] {
-            let (node, kept) = driver::tests::node(SECOND);
+async fn a_client_close_is_noticed_behind_pipelined_input() {
+    let pipelined = ["", "POST /api HTTP/1.1\r\nX-Call-Id: 2", API_REQUEST, "\r\n"];
+    for input in pipelined {
+        for delayed in [false, true] {
+            let (node, launcher) = driver::tests::node(SECOND);
             node.fleet(ListScope::Full, vec![listed("s", Stage::InService)]);
             let (mut peer, stream) = tokio::io::duplex(4096);
             let (_phase, phases) = watch::channel(ShutdownPhase::Serving);
             let client = async {
-                peer.write_all(with_budget(CALL, 3000).as_bytes()).await.expect("taken");
-                if apart {
+                peer.write_all(with_budget(API_REQUEST, 3000).as_bytes()).await.expect("write succeeds");
+                if delayed {
                     sleep(Duration::from_millis(10)).await;
                 }
-                peer.write_all(behind.as_bytes()).await.expect("taken");
+                peer.write_all(input.as_bytes()).await.expect("write succeeds");
                 sleep(Duration::from_millis(10)).await;
-                assert_eq!(kept.launches.borrow().len(), 1);
-                assert!(node.may_write(kept.launches.borrow()[0].ticket), "it waits");
-                let gone = Instant::now();
+                assert_eq!(launcher.launches.borrow().len(), 1);
+                assert!(node.may_write(launcher.launches.borrow()[0].ticket), "the attempt is pending");
+                let closed_at = Instant::now();
                 drop(peer);
-                gone
+                closed_at
             };
             let serve = async {
                 serve(stream, node.clone(), phases, || false).await;
                 Instant::now()
             };
-            let (gone, noticed) = tokio::select! {
-                both = async { tokio::join!(client, serve) } => both,
-                () = node.run_timers() => unreachable!("timers run for ever"),
+            let (closed_at, noticed_at) = tokio::select! {
+                times = async { tokio::join!(client, serve) } => times,
+                () = node.run_timers() => unreachable!("timers never end"),
             };
-            assert!(noticed - gone < Duration::from_millis(50), "{behind:?}: {:?} later", noticed - gone);
-            assert_eq!(kept.launches.borrow().len(), 1, "{behind:?}: nothing more is sent on");
-            assert!(!node.may_write(kept.launches.borrow()[0].ticket), "{behind:?}");
+            assert!(
+                noticed_at - closed_at < Duration::from_millis(50),
+                "{input:?}: {:?} later",
+                noticed_at - closed_at
+            );
+            assert_eq!(launcher.launches.borrow().len(), 1, "{input:?}: nothing more is forwarded");
+            assert!(!node.may_write(launcher.launches.borrow()[0].ticket), "{input:?}");
         }
     }
 }
 
-/// With a bound for each connection, for peers that send without end behind a request.
+/// Guards against unbounded memory for a peer that keeps sending while its request is pending.
 #[tokio::test(start_paused = true)]
-async fn no_more_is_read_ahead_than_every_connection_may_hold() {
-    let (node, _kept) = driver::tests::node(SECOND);
+async fn read_ahead_is_bounded() {
+    let (node, _launcher) = driver::tests::node(SECOND);
     node.fleet(ListScope::Full, vec![listed("s", Stage::InService)]);
     let (mut peer, stream) = tokio::io::duplex(1024);
     let (_phase, phases) = watch::channel(ShutdownPhase::Serving);
     let mut sent = 0;
     let flood = async {
-        peer.write_all(with_budget(CALL, 3000).as_bytes()).await.expect("taken");
+        peer.write_all(with_budget(API_REQUEST, 3000).as_bytes()).await.expect("write succeeds");
         loop {
             sent += peer.write(&[b'x'; 512]).await.expect("still open");
         }
     };
     tokio::select! {
-        () = flood => unreachable!("it floods for ever"),
-        () = serve(stream, node.clone(), phases, || false) => panic!("the request is still out"),
+        () = flood => unreachable!("the peer sends for ever"),
+        () = serve(stream, node.clone(), phases, || false) => panic!("the request is still pending"),
         () = sleep(Duration::from_secs(1)) => {}
     }
     assert!((32 * 1024..100 * 1024).contains(&sent), "{sent}");
 }
 
-/// The end came after its request had been read and before the attempt was written, in one and the same turn.
+/// The client disconnects after its request was read and before the attempt is written, within one poll of the runtime.
 #[tokio::test]
-async fn nothing_is_written_for_a_client_that_leaves_as_its_attempt_is_launched() {
+async fn an_attempt_is_not_written_if_its_client_disconnects_at_launch() {
     use std::io::{Read, Write};
     let backend = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let endpoint = backend.local_addr().expect("its address");
     let links = brookfield_settings::Links { idle: 60 * SECOND, connect_timeout: SECOND };
     let upstream = crate::upstream::Upstream::new(links, driver::Clock::start(), 8);
-    let crossed = Rc::new(driver::tests::Crossed { upstream, crossing: Default::default() });
-    let node = driver::tests::node_over(SECOND, "pushed", crossed.clone());
+    let launcher = Rc::new(driver::tests::Crossed { upstream, crossing: Default::default() });
+    let node = driver::tests::node_over(SECOND, "pushed", launcher.clone());
     node.fleet(ListScope::Full, vec![driver::Listed { endpoint, ..listed("s", Stage::InService) }]);
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let at = listener.local_addr().expect("its address");
     let (_phase, phases) = watch::channel(ShutdownPhase::Serving);
-    let got = Rc::new(std::cell::RefCell::new(String::new()));
+    let received = Rc::new(std::cell::RefCell::new(String::new()));
     let work = async {
         spawn_local(run(listener, node.clone(), 8, phases));
-        let seen = got.clone();
+        let seen = received.clone();
         spawn_local(async move {
             let (mut stream, _) = backend.accept().await.expect("a connection");
             let mut chunk = [0; 4096];
             while let Ok(count @ 1..) = stream.read(&mut chunk).await {
                 seen.borrow_mut().push_str(&String::from_utf8_lossy(&chunk[..count]));
-                stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").await.expect("taken");
+                stream
+                    .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+                    .await
+                    .expect("write succeeds");
             }
         });
-        for (id, stays) in [("warm", true), ("gone", false), ("last", true)] {
+        for (id, waits) in [("warm", true), ("gone", false), ("last", true)] {
             let mut client = std::net::TcpStream::connect(at).expect("a connection");
-            let text = with_budget(CALL, 3000).replace("Call-Id: 1", &format!("Call-Id: {id}"));
-            client.write_all(text.as_bytes()).expect("taken");
-            if stays {
+            let text = with_budget(API_REQUEST, 3000).replace("Call-Id: 1", &format!("Call-Id: {id}"));
+            client.write_all(text.as_bytes()).expect("write succeeds");
+            if waits {
                 client.set_nonblocking(true).expect("not blocking");
                 let mut client = TcpStream::from_std(client).expect("in the runtime");
                 let mut answer = [0; 12];
-                client.read_exact(&mut answer).await.expect("an answer");
+                client.read_exact(&mut answer).await.expect("a response");
                 assert_eq!(&answer, b"HTTP/1.1 200", "{id}");
                 continue;
             }
-            let (left, leaves) = std::sync::mpsc::channel::<()>();
-            crossed.crossing.replace(Some(Box::new(move || {
+            let (disconnect_signal, disconnected) = std::sync::mpsc::channel::<()>();
+            launcher.crossing.replace(Some(Box::new(move || {
                 client.set_nonblocking(true).expect("not blocking");
-                assert!(client.read(&mut [0]).is_err(), "no answer yet");
-                drop((client, left));
+                assert!(client.read(&mut [0]).is_err(), "no response yet");
+                drop((client, disconnect_signal));
             })));
-            // The sender goes with the client.
-            while leaves.try_recv() == Err(std::sync::mpsc::TryRecvError::Empty) {
+            // The sender is dropped together with the client.
+            while disconnected.try_recv() == Err(std::sync::mpsc::TryRecvError::Empty) {
                 tokio::task::yield_now().await;
             }
         }
     };
     tokio::task::LocalSet::new().run_until(work).await;
-    let got = got.borrow();
-    assert!(got.contains("warm") && got.contains("last") && !got.contains("gone"), "{got}");
+    let received = received.borrow();
+    assert!(
+        received.contains("warm") && received.contains("last") && !received.contains("gone"),
+        "{received}"
+    );
 }
 
-/// What lay in the accept queue, whole and with its end behind it, is nobody's any more.
+/// Covers connections that sent a request and closed while still in the accept queue.
 #[tokio::test]
-async fn nothing_is_sent_on_for_a_client_that_left_while_it_was_queued() {
+async fn a_request_is_not_forwarded_if_its_client_disconnected_before_accept() {
     use std::io::Write;
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let at = listener.local_addr().expect("its address");
-    let (node, kept) = driver::tests::node(SECOND);
+    let (node, launcher) = driver::tests::node(SECOND);
     node.fleet(ListScope::Full, vec![listed("s", Stage::InService)]);
     let (_phase, phases) = watch::channel(ShutdownPhase::Serving);
     let ask = |id: &str| {
         let mut client = std::net::TcpStream::connect(at).expect("a connection");
-        let text = with_budget(CALL, 3000).replace("Call-Id: 1", &format!("Call-Id: {id}"));
-        client.write_all(text.as_bytes()).expect("taken");
+        let text = with_budget(API_REQUEST, 3000).replace("Call-Id: 1", &format!("Call-Id: {id}"));
+        client.write_all(text.as_bytes()).expect("write succeeds");
         client
     };
     for id in ["a", "b", "c"] {
@@ -373,80 +383,80 @@
     let last = ask("d");
     let work = async {
         spawn_local(run(listener, node.clone(), 8, phases));
-        // Connections are taken in the order in which they came.
-        while kept.launches.borrow().is_empty() {
+        // Connections are accepted in order of arrival.
+        while launcher.launches.borrow().is_empty() {
             tokio::task::yield_now().await;
         }
     };
     tokio::task::LocalSet::new().run_until(work).await;
-    let launches = kept.launches.borrow();
+    let launches = launcher.launches.borrow();
     assert_eq!(launches[0].call.headers["x-call-id"], "d");
     assert_eq!(launches.len(), 1);
     drop(last);
 }
 
-/// A graceful shutdown dropped what lay in the parser unseen: the next request had come with the last one.
+/// Guards against losing a next request whose first bytes are already in the parser's buffer when closing begins.
 #[tokio::test(start_paused = true)]
-async fn what_came_together_with_an_answered_request_is_taken_while_the_node_closes() {
-    let (first, rest) = CALL.split_at(30);
-    let together = format!("{CALL}{first}");
+async fn a_partial_pipelined_request_is_served_while_the_node_closes() {
+    let (first, rest) = API_REQUEST.split_at(30);
+    let together = format!("{API_REQUEST}{first}");
     let (phase, _) = watch::channel(ShutdownPhase::Serving);
     let texts = [together.as_str(), rest];
-    let (got, _) = tokio::select! {
-        talked = talk_in(&phase, false, &texts, Duration::from_millis(400)) => talked,
-        () = close_after(&phase, Duration::from_millis(200)) => unreachable!("it pends"),
+    let (received, _) = tokio::select! {
+        result = exchange_in_phase(&phase, false, &texts, Duration::from_millis(400)) => result,
+        () = start_closing_after(&phase, Duration::from_millis(200)) => unreachable!("never resolves"),
     };
-    assert_eq!(got.matches("HTTP/1.1 503 ").count(), 2, "{got}");
-    assert!(got.to_lowercase().contains("connection: close"), "{got}");
+    assert_eq!(received.matches("HTTP/1.1 503 ").count(), 2, "{received}");
+    assert!(received.to_lowercase().contains("connection: close"), "{received}");
 }
 
-/// A resting client's request was cut in the middle, its connection's time being up: that counted from the last answer.
+/// Guards against applying the idle timeout to a connection on which a request has started to arrive.
 #[tokio::test(start_paused = true)]
-async fn a_request_that_begins_as_its_connection_is_about_to_be_closed_has_its_time() {
-    let (first, rest) = CALL.split_at(30);
+async fn a_request_that_starts_just_before_the_idle_timeout_has_its_full_read_timeout() {
+    let (first, rest) = API_REQUEST.split_at(30);
     let (phase, _) = watch::channel(ShutdownPhase::Serving);
-    let texts = [CALL, first, rest];
-    let (got, _) = talk_in(&phase, false, &texts, Duration::from_millis(2100)).await;
-    assert_eq!(got.matches("HTTP/1.1 503 ").count(), 2, "{got}");
-    // One that does not go on has it no longer than that.
+    let texts = [API_REQUEST, first, rest];
+    let (received, _) = exchange_in_phase(&phase, false, &texts, Duration::from_millis(2100)).await;
+    assert_eq!(received.matches("HTTP/1.1 503 ").count(), 2, "{received}");
+    // A request that stays incomplete is closed when its read timeout expires.
     let began = Instant::now();
-    talk_in(&phase, false, &[CALL, first], Duration::from_millis(2100)).await;
+    exchange_in_phase(&phase, false, &[API_REQUEST, first], Duration::from_millis(2100)).await;
     let took = began.elapsed();
     assert!((Duration::from_millis(4600)..Duration::from_millis(4800)).contains(&took), "{took:?}");
 }
 
-/// A close over unread bytes resets the connection, and takes with it what of the answer has yet to be sent.
+/// Guards against a reset: closing a socket with unread input may lose the rest of the response.
 #[tokio::test(start_paused = true)]
-async fn what_comes_after_the_last_answer_is_read_until_its_client_has_closed() {
+async fn input_after_the_last_response_is_drained_before_the_close() {
     let (mut peer, stream) = tokio::io::duplex(4096);
     let (_phase, phases) = watch::channel(ShutdownPhase::Serving);
     let (node, _) = driver::tests::node(0);
     let client = async {
-        peer.write_all(CHECK.as_bytes()).await.expect("taken");
-        let mut got = String::new();
-        peer.read_to_string(&mut got).await.expect("an answer and the end");
+        peer.write_all(HEALTH_CHECK.as_bytes()).await.expect("write succeeds");
+        let mut received = String::new();
+        peer.read_to_string(&mut received).await.expect("a response and the close");
         peer.write_all(&[b'x'; 64 * 1024]).await.expect("the node still reads");
-        // One that does not close has the node wait no longer than this, and one that goes on neither.
+        // The lingering close is bounded, even if the client keeps sending or never closes.
         sleep(Duration::from_millis(400)).await;
         peer.write_all(b"x").await.expect_err("the node has closed");
-        got
+        received
     };
-    let (got, ()) = tokio::join!(client, serve(stream, node, phases, || false));
-    assert!(got.starts_with("HTTP/1.1 503 "), "{got}");
+    let (received, ()) = tokio::join!(client, serve(stream, node, phases, || false));
+    assert!(received.starts_with("HTTP/1.1 503 "), "{received}");
 }
 
-/// An answer that its client takes slowly is not cut by a shutdown that comes while it goes out.
+/// Guards against truncating a response to a slow reader when a shutdown begins.
 #[tokio::test(start_paused = true)]
-async fn an_answer_that_is_going_out_as_the_node_closes_goes_out_whole() {
+async fn a_response_in_transit_is_completed_when_the_node_closes() {
     const BODY: usize = 60_000;
-    let (node, kept) = driver::tests::node(SECOND);
+    let (node, launcher) = driver::tests::node(SECOND);
     node.fleet(ListScope::Full, vec![listed("s", Stage::InService)]);
     let (mut peer, stream) = tokio::io::duplex(1024);
     let (phase, phases) = watch::channel(ShutdownPhase::Serving);
     let client = async {
-        peer.write_all(with_budget(CALL, 3000).as_bytes()).await.expect("taken");
+        peer.write_all(with_budget(API_REQUEST, 3000).as_bytes()).await.expect("write succeeds");
         sleep(Duration::from_millis(10)).await;
-        let launch = kept.launches.borrow_mut().pop().expect("an attempt");
+        let launch = launcher.launches.borrow_mut().pop().expect("an attempt");
         let body = bytes::Bytes::from(vec![b'x'; BODY]);
         node.settled(
             launch.ticket,
@@ -455,14 +465,14 @@
         sleep(Duration::from_millis(10)).await;
         phase.send_replace(closing());
         sleep(Duration::from_millis(700)).await;
-        let mut got = String::new();
-        peer.read_to_string(&mut got).await.expect("an answer and the end");
-        got
+        let mut received = String::new();
+        peer.read_to_string(&mut received).await.expect("a response and the close");
+        received
     };
-    let (got, ()) = tokio::select! {
-        both = async { tokio::join!(client, serve(stream, node.clone(), phases, || false)) } => both,
-        () = node.run_timers() => unreachable!("timers run for ever"),
+    let (received, ()) = tokio::select! {
+        result = async { tokio::join!(client, serve(stream, node.clone(), phases, || false)) } => result,
+        () = node.run_timers() => unreachable!("timers never end"),
     };
-    assert!(got.starts_with("HTTP/1.1 200 "), "{}", &got[..got.len().min(100)]);
-    assert_eq!(got.split("\r\n\r\n").nth(1).map(str::len), Some(BODY));
+    assert!(received.starts_with("HTTP/1.1 200 "), "{}", &received[..received.len().min(100)]);
+    assert_eq!(received.split("\r\n\r\n").nth(1).map(str::len), Some(BODY));
 }
