--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A node as a process, with backends, discovery and clients written by hand on loopback sockets.
+//! Helpers: runs a node as a process, with scripted backends, discovery and clients on loopback sockets.
 #![allow(dead_code)]
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -13,48 +13,48 @@
 
 use serde_json::{Value, json};
 
-/// Nothing here takes that long; a test that waits for it has failed.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// A wait longer than this fails the test.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A message as read from a socket.
+/// An HTTP message read from a socket.
 #[derive(Clone, Debug)]
 pub struct Message {
-    pub first: String,
+    pub start_line: String,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
 }
 
 impl Message {
-    pub fn values(&self, name: &str) -> Vec<&str> {
-        let named = self.headers.iter().filter(|header| header.0.eq_ignore_ascii_case(name));
-        named.map(|(_, value)| value.as_str()).collect()
+    pub fn header_values(&self, name: &str) -> Vec<&str> {
+        let matching = self.headers.iter().filter(|header| header.0.eq_ignore_ascii_case(name));
+        matching.map(|(_, value)| value.as_str()).collect()
     }
 
-    pub fn value(&self, name: &str) -> Option<&str> {
-        self.values(name).first().copied()
+    pub fn header(&self, name: &str) -> Option<&str> {
+        self.header_values(name).first().copied()
     }
 
     pub fn status(&self) -> u16 {
-        self.first.split(' ').nth(1).and_then(|code| code.parse().ok()).unwrap_or(0)
+        self.start_line.split(' ').nth(1).and_then(|code| code.parse().ok()).unwrap_or(0)
     }
 }
 
-/// Reads one message; none where the connection ends first.
+/// Reads one message; none if the connection is closed first.
 pub fn read_message(reader: &mut BufReader<TcpStream>) -> Option<Message> {
     let mut line = || {
         let mut text = String::new();
         let read = reader.read_line(&mut text).ok()?;
         (read > 0).then(|| text.trim_end().to_owned())
     };
-    let first = line()?;
+    let start_line = line()?;
     let mut headers = Vec::new();
     loop {
         let text = line()?;
         let Some((name, value)) = text.split_once(':') else { break };
         headers.push((name.to_owned(), value.trim().to_owned()));
     }
-    let mut message = Message { first, headers, body: Vec::new() };
-    let length = message.value("content-length").and_then(|v| v.parse().ok()).unwrap_or(0);
+    let mut message = Message { start_line, headers, body: Vec::new() };
+    let length = message.header("content-length").and_then(|v| v.parse().ok()).unwrap_or(0);
     message.body = vec![0; length];
     reader.read_exact(&mut message.body).ok()?;
     Some(message)
@@ -62,15 +62,15 @@
 
 /// What a backend does with a request.
 #[derive(Clone)]
-pub enum Does {
-    /// Writes these bytes and keeps the connection.
-    Writes(String),
-    /// Writes these bytes and closes.
-    Ends(String),
-    /// Says nothing and keeps the connection.
-    Hangs,
-    /// Waits for the gate, then writes.
-    Waits(Arc<Gate>, String),
+pub enum Behavior {
+    /// Writes the bytes and keeps the connection open.
+    Respond(String),
+    /// Writes the bytes and closes the connection.
+    RespondAndClose(String),
+    /// Writes nothing and keeps the connection open.
+    Hang,
+    /// Waits for the gate, then writes the bytes.
+    RespondWhenOpen(Arc<Gate>, String),
 }
 
 pub fn ok(body: &str) -> String {
@@ -81,7 +81,7 @@
     format!("HTTP/1.1 {code} X\r\n{headers}Content-Length: 0\r\n\r\n")
 }
 
-/// Opens once.
+/// A latch that backends wait on.
 #[derive(Default)]
 pub struct Gate {
     open: Mutex<bool>,
@@ -96,69 +96,75 @@
 
     pub fn wait(&self) {
         let open = self.open.lock().unwrap();
-        let (_open, timed_out) = self.changed.wait_timeout_while(open, PATIENCE, |open| !*open).unwrap();
+        let (_open, timed_out) = self.changed.wait_timeout_while(open, WAIT_TIMEOUT, |open| !*open).unwrap();
         assert!(!timed_out.timed_out(), "the gate never opened");
     }
 }
 
-/// A backend: what it gets can be received, what it does is set by the test.
+/// A backend whose behavior the test scripts, and whose requests it can receive.
 pub struct Backend {
-    pub at: SocketAddr,
-    pub got: Receiver<Message>,
+    pub address: SocketAddr,
+    pub requests: Receiver<Message>,
     pub connections: Arc<AtomicU32>,
-    /// Connections that were ended here and that the node has closed in turn.
+    /// Connections closed by this backend that the node has closed as well.
     pub closed: Arc<AtomicU32>,
 }
 
 impl Backend {
-    pub fn new(does: impl Fn(&Message) -> Does + Send + Sync + 'static) -> Self {
+    pub fn new(behavior: impl Fn(&Message) -> Behavior + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let at = listener.local_addr().unwrap();
-        let (send, got) = channel();
+        let address = listener.local_addr().unwrap();
+        let (sender, requests) = channel();
         let connections = Arc::new(AtomicU32::new(0));
         let closed = Arc::new(AtomicU32::new(0));
-        let (does, counter, ended) = (Arc::new(does), connections.clone(), closed.clone());
+        let (behavior, opened, closed_by_node) = (Arc::new(behavior), connections.clone(), closed.clone());
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                counter.fetch_add(1, Ordering::SeqCst);
-                let (does, send, ended) = (does.clone(), send.clone(), ended.clone());
-                thread::spawn(move || attend(stream, &*does, &send, &ended));
+                opened.fetch_add(1, Ordering::SeqCst);
+                let (behavior, sender, closed_by_node) =
+                    (behavior.clone(), sender.clone(), closed_by_node.clone());
+                thread::spawn(move || serve_connection(stream, &*behavior, &sender, &closed_by_node));
             }
         });
-        Self { at, got, connections, closed }
+        Self { address, requests, connections, closed }
     }
 
-    pub fn next(&self) -> Message {
-        self.got.recv_timeout(PATIENCE).expect("a request reaches the backend")
+    pub fn next_request(&self) -> Message {
+        self.requests.recv_timeout(WAIT_TIMEOUT).expect("a request reaches the backend")
     }
 
-    pub fn count(&self) -> usize {
-        self.got.try_iter().count()
+    pub fn request_count(&self) -> usize {
+        self.requests.try_iter().count()
     }
 }
 
-fn attend(stream: TcpStream, does: &dyn Fn(&Message) -> Does, send: &Sender<Message>, ended: &AtomicU32) {
+fn serve_connection(
+    stream: TcpStream,
+    behavior: &dyn Fn(&Message) -> Behavior,
+    sender: &Sender<Message>,
+    closed_by_node: &AtomicU32,
+) {
     let mut writer = stream.try_clone().unwrap();
     let mut reader = BufReader::new(stream);
     while let Some(message) = read_message(&mut reader) {
-        let next = does(&message);
-        if send.send(message).is_err() {
+        let next = behavior(&message);
+        if sender.send(message).is_err() {
             return;
         }
         let written = match next {
-            Does::Writes(text) => writer.write_all(text.as_bytes()),
-            Does::Waits(gate, text) => {
+            Behavior::Respond(text) => writer.write_all(text.as_bytes()),
+            Behavior::RespondWhenOpen(gate, text) => {
                 gate.wait();
                 writer.write_all(text.as_bytes())
             }
-            Does::Ends(text) => {
+            Behavior::RespondAndClose(text) => {
                 let _ = writer.write_all(text.as_bytes());
                 let _ = writer.shutdown(Shutdown::Write);
                 let _ = std::io::copy(&mut reader, &mut std::io::sink());
-                ended.fetch_add(1, Ordering::SeqCst);
+                closed_by_node.fetch_add(1, Ordering::SeqCst);
                 return;
             }
-            Does::Hangs => Ok(()),
+            Behavior::Hang => Ok(()),
         };
         if written.is_err() {
             return;
@@ -168,83 +174,88 @@
 
 /// What discovery does with a call.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Says {
-    /// Answers, at once or when there is news.
-    List,
-    /// Nothing, ever.
-    Nothing,
-    /// Begins to answer and goes on for ever, byte by byte.
-    Drips,
+pub enum CallBehavior {
+    /// Sends the list, at once or when it changes.
+    SendList,
+    /// Never answers.
+    Hang,
+    /// Sends an endless response byte by byte.
+    Trickle,
     /// Closes the connection.
-    Ends,
+    Close,
 }
 
-type Script = dyn Fn(usize) -> Says + Send + Sync;
+type Script = dyn Fn(usize) -> CallBehavior + Send + Sync;
 
-/// Discovery: one list, and the answers to watches on it.
+/// A discovery service with one list and watches on it.
 #[derive(Clone)]
 pub struct Discovery {
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     state: Arc<(Mutex<(u64, String)>, Condvar)>,
-    /// Watches that have been answered or are waiting, by the version they came from.
+    /// Request lines of all calls so far.
     pub calls: Arc<Mutex<Vec<String>>>,
     script: Arc<Script>,
 }
 
 impl Discovery {
     pub fn new(targets: Value) -> Self {
-        Self::scripted(targets, |_| Says::List)
+        Self::with_script(targets, |_| CallBehavior::SendList)
     }
 
-    /// What it does with each call, by its number from 0.
-    pub fn scripted(targets: Value, script: impl Fn(usize) -> Says + Send + Sync + 'static) -> Self {
+    /// The script decides on each call by its number, counted from 0.
+    pub fn with_script(
+        targets: Value,
+        script: impl Fn(usize) -> CallBehavior + Send + Sync + 'static,
+    ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let discovery = Self {
-            at: listener.local_addr().unwrap(),
+            address: listener.local_addr().unwrap(),
             state: Arc::new((Mutex::new((1, list(1, &targets))), Condvar::new())),
             calls: Arc::default(),
             script: Arc::new(script),
         };
-        let served = discovery.clone();
+        let server = discovery.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let served = served.clone();
-                thread::spawn(move || served.attend(stream));
+                let server = server.clone();
+                thread::spawn(move || server.serve_connection(stream));
             }
         });
         discovery
     }
 
-    fn attend(&self, stream: TcpStream) {
+    fn serve_connection(&self, stream: TcpStream) {
         let mut writer = stream.try_clone().unwrap();
         let mut reader = BufReader::new(stream);
         while let Some(message) = read_message(&mut reader) {
             let number = {
                 let mut calls = self.calls.lock().unwrap();
-                calls.push(message.first.clone());
+                calls.push(message.start_line.clone());
                 calls.len() - 1
             };
             match (self.script)(number) {
-                Says::List => {}
-                Says::Nothing => continue,
-                Says::Ends => return,
-                Says::Drips => {
+                CallBehavior::SendList => {}
+                CallBehavior::Hang => continue,
+                CallBehavior::Close => return,
+                CallBehavior::Trickle => {
                     let head = "HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n{\"rev\":9,\"all\":true,\"targets\":[";
-                    let mut drips = head.bytes().chain(std::iter::repeat_n(b' ', 50_000));
-                    while drips.next().is_some_and(|byte| writer.write_all(&[byte]).is_ok()) {
+                    let mut bytes = head.bytes().chain(std::iter::repeat_n(b' ', 50_000));
+                    while bytes.next().is_some_and(|byte| writer.write_all(&[byte]).is_ok()) {
                         thread::sleep(Duration::from_millis(20));
                     }
                     return;
                 }
             }
-            let from = message.first.split("from=").nth(1).and_then(|t| t.split('&').next()?.parse().ok());
+            let from_rev =
+                message.start_line.split("from=").nth(1).and_then(|t| t.split('&').next()?.parse().ok());
             let (lock, changed) = &*self.state;
             let state = lock.lock().unwrap();
-            let seen = |state: &mut (u64, String)| Some(state.0) == from;
-            let hold = message.first.split("hold_ms=").nth(1).and_then(|t| t.split(' ').next()?.parse().ok());
-            let wait = Duration::from_millis(hold.unwrap_or(0));
-            let (state, _) = changed.wait_timeout_while(state, wait, seen).unwrap();
-            let text = if Some(state.0) == from {
+            let seen = |state: &mut (u64, String)| Some(state.0) == from_rev;
+            let hold_ms =
+                message.start_line.split("hold_ms=").nth(1).and_then(|t| t.split(' ').next()?.parse().ok());
+            let timeout = Duration::from_millis(hold_ms.unwrap_or(0));
+            let (state, _) = changed.wait_timeout_while(state, timeout, seen).unwrap();
+            let text = if Some(state.0) == from_rev {
                 format!(r#"{{"rev":{},"all":false,"targets":[]}}"#, state.0)
             } else {
                 state.1.clone()
@@ -256,26 +267,27 @@
         }
     }
 
-    /// Changes the list; watches get it whole.
-    pub fn set(&self, targets: Value) {
+    /// Replaces the list; watches get it in full.
+    pub fn set_targets(&self, targets: Value) {
         let rev = self.state.0.lock().unwrap().0 + 1;
-        self.set_text(rev, list(rev, &targets));
+        self.set_response(rev, list(rev, &targets));
     }
 
-    /// What watches get next, whatever it is.
-    pub fn set_text(&self, rev: u64, text: String) {
+    /// Sets the body that watches get next, valid or not.
+    pub fn set_response(&self, rev: u64, text: String) {
         *self.state.0.lock().unwrap() = (rev, text);
         self.state.1.notify_all();
     }
 
-    /// Waits until a watch from this version has come: what that version held has been taken in.
-    pub fn watched_from(&self, rev: u64) {
-        let mark = format!("from={rev}&");
-        until("the watch goes on", || self.calls.lock().unwrap().iter().any(|call| call.contains(&mark)));
+    /// Waits for a watch from this revision, which means that the node has applied it.
+    pub fn wait_for_watch_from(&self, rev: u64) {
+        let query = format!("from={rev}&");
+        wait_until("the node watches from the revision", || {
+            self.calls.lock().unwrap().iter().any(|call| call.contains(&query))
+        });
     }
 
-    /// Calls so far.
-    pub fn called(&self) -> usize {
+    pub fn call_count(&self) -> usize {
         self.calls.lock().unwrap().len()
     }
 
@@ -289,18 +301,18 @@
 }
 
 /// Waits for a condition.
-pub fn until(what: &str, mut done: impl FnMut() -> bool) {
-    for _ in 0..PATIENCE.as_millis() / 5 {
+pub fn wait_until(condition: &str, mut done: impl FnMut() -> bool) {
+    for _ in 0..WAIT_TIMEOUT.as_millis() / 5 {
         if done() {
             return;
         }
         thread::sleep(Duration::from_millis(5));
     }
-    panic!("in vain: {what}");
+    panic!("timed out waiting: {condition}");
 }
 
-pub fn target(uid: &str, at: SocketAddr, state: &str) -> Value {
-    json!({"uid": uid, "endpoint": at.to_string(), "az": "a", "model": "k", "pod_group": 0, "state": state,
+pub fn target(uid: &str, address: SocketAddr, state: &str) -> Value {
+    json!({"uid": uid, "endpoint": address.to_string(), "az": "a", "model": "k", "pod_group": 0, "state": state,
         "capacity_hint": 1.0, "boot_ms": 0})
 }
 
@@ -326,22 +338,22 @@
         "known": {"rev": 0, "all": true, "targets": known}, "settings": settings()})
 }
 
-/// The node's process; ended with the test.
+/// A node's process, killed when dropped.
 pub struct Node {
     pub child: Child,
-    pub at: SocketAddr,
-    config: PathBuf,
+    pub address: SocketAddr,
+    config_path: PathBuf,
     log: Arc<Mutex<String>>,
 }
 
-/// Starts the program on this text of a configuration.
+/// Starts the node with this configuration text.
 pub fn spawn(config: &str) -> Child {
-    spawn_with_file(Command::new(BINARY), config, &[]).0
+    spawn_with_config(Command::new(BINARY), config, &[]).0
 }
 
 const BINARY: &str = env!("CARGO_BIN_EXE_badgerpost");
 
-fn spawn_with_file(mut program: Command, config: &str, variables: &[(&str, &str)]) -> (Child, PathBuf) {
+fn spawn_with_config(mut program: Command, config: &str, variables: &[(&str, &str)]) -> (Child, PathBuf) {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = NEXT.fetch_add(1, Ordering::SeqCst);
     let path = std::env::temp_dir().join(format!("badgerpost-{}-{number}.json", std::process::id()));
@@ -357,68 +369,70 @@
     (child, path)
 }
 
-fn listening(reader: &mut BufReader<ChildStderr>) -> SocketAddr {
+fn read_listen_address(reader: &mut BufReader<ChildStderr>) -> SocketAddr {
     let mut line = String::new();
     while reader.read_line(&mut line).unwrap() > 0 {
         if let Ok(fields) = serde_json::from_str::<Value>(&line) {
-            if let Some(at) = fields["listen"].as_str() {
-                return at.parse().unwrap();
+            if let Some(address) = fields["listen"].as_str() {
+                return address.parse().unwrap();
             }
         } else if let Some((_, fields)) = line.split_once(" serves ") {
-            let at = fields.split_whitespace().find_map(|field| field.strip_prefix("listen="));
-            return at.expect("the address").parse().unwrap();
+            let address = fields.split_whitespace().find_map(|field| field.strip_prefix("listen="));
+            return address.expect("the address").parse().unwrap();
         }
         line.clear();
     }
-    panic!("the node ended before it listened");
+    panic!("the node exited before it listened");
 }
 
 impl Node {
     pub fn start(config: &Value) -> Self {
-        Self::start_with(config, &[])
+        Self::start_with_env(config, &[])
     }
 
-    /// Starts with these environment variables too.
-    pub fn start_with(config: &Value, variables: &[(&str, &str)]) -> Self {
+    /// Starts with additional environment variables.
+    pub fn start_with_env(config: &Value, variables: &[(&str, &str)]) -> Self {
         Self::run(Command::new(BINARY), config, variables)
     }
 
-    /// Starts with no more descriptors than the configuration grants it.
-    pub fn start_within_limits(config: &Value) -> Self {
+    /// Starts with the process's descriptor limit set to that of the configuration.
+    pub fn start_with_descriptor_limit(config: &Value) -> Self {
         let mut program = Command::new("sh");
         program.args(["-c", &format!("ulimit -n {}; exec \"$0\"", config["limits"]["sockets"]), BINARY]);
         Self::run(program, config, &[])
     }
 
     fn run(program: Command, config: &Value, variables: &[(&str, &str)]) -> Self {
-        let (mut child, config) = spawn_with_file(program, &config.to_string(), variables);
+        let (mut child, config_path) = spawn_with_config(program, &config.to_string(), variables);
         let mut reader = BufReader::new(child.stderr.take().unwrap());
-        let at = listening(&mut reader);
+        let address = read_listen_address(&mut reader);
         let log = Arc::new(Mutex::new(String::new()));
-        let kept = log.clone();
+        let log_writer = log.clone();
         thread::spawn(move || {
             for line in reader.lines().map_while(Result::ok) {
-                kept.lock().unwrap().push_str(&(line + "\n"));
+                log_writer.lock().unwrap().push_str(&(line + "\n"));
             }
         });
-        Self { child, at, config, log }
+        Self { child, address, config_path, log }
     }
 
-    /// A node that discovery tells of these backends, as `s-0`, `s-1` and so on.
-    pub fn with(backends: &[&Backend]) -> (Self, Discovery) {
-        let targets: Vec<Value> =
-            (0..).zip(backends).map(|(n, backend)| target(&format!("s-{n}"), backend.at, "Ready")).collect();
+    /// Starts a node whose discovery lists these backends as `s-0`, `s-1` and so on.
+    pub fn with_backends(backends: &[&Backend]) -> (Self, Discovery) {
+        let targets: Vec<Value> = (0..)
+            .zip(backends)
+            .map(|(n, backend)| target(&format!("s-{n}"), backend.address, "Ready"))
+            .collect();
         let discovery = Discovery::new(json!(targets));
-        let node = Self::start(&config(discovery.at, json!([])));
-        discovery.watched_from(1);
+        let node = Self::start(&config(discovery.address, json!([])));
+        discovery.wait_for_watch_from(1);
         (node, discovery)
     }
 
-    pub fn logged(&self, text: &str) -> bool {
+    pub fn log_contains(&self, text: &str) -> bool {
         self.log.lock().unwrap().contains(text)
     }
 
-    /// The lines of the log so far that hold this text.
+    /// The log lines so far that contain the text.
     pub fn log_lines(&self, text: &str) -> Vec<String> {
         self.log.lock().unwrap().lines().filter(|line| line.contains(text)).map(str::to_owned).collect()
     }
@@ -428,14 +442,14 @@
         assert!(done.success());
     }
 
-    /// Replaces the configuration file and tells the node.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reconfigure(&self, config: &str) {
-        std::fs::write(&self.config, config).unwrap();
+        std::fs::write(&self.config_path, config).unwrap();
         self.signal("-HUP");
     }
 
-    pub fn ask(&self, text: &str) -> Message {
-        Client::to(self.at).ask(text).expect("an answer")
+    pub fn request(&self, text: &str) -> Message {
+        Client::connect(self.address).request(text).expect("a response")
     }
 }
 
@@ -453,14 +467,14 @@
 }
 
 impl Client {
-    pub fn to(at: SocketAddr) -> Self {
-        Self::try_to(at).expect("a connection")
+    pub fn connect(address: SocketAddr) -> Self {
+        Self::try_connect(address).expect("a connection")
     }
 
-    /// None where nobody takes connections any more.
-    pub fn try_to(at: SocketAddr) -> Option<Self> {
-        let writer = TcpStream::connect(at).ok()?;
-        writer.set_read_timeout(Some(PATIENCE)).unwrap();
+    /// None if the connection fails.
+    pub fn try_connect(address: SocketAddr) -> Option<Self> {
+        let writer = TcpStream::connect(address).ok()?;
+        writer.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         let reader = BufReader::new(writer.try_clone().unwrap());
         Some(Self { writer, reader })
     }
@@ -469,32 +483,32 @@
         self.writer.write_all(text.as_bytes()).unwrap();
     }
 
-    /// Writes to a connection that the node may have closed.
-    pub fn write_if_open(&mut self, text: &str) {
+    /// Like `write`, but ignores errors: the node may have closed the connection.
+    pub fn try_write(&mut self, text: &str) {
         let _ = self.writer.write_all(text.as_bytes());
     }
 
-    pub fn read(&mut self) -> Option<Message> {
+    pub fn read_response(&mut self) -> Option<Message> {
         read_message(&mut self.reader)
     }
 
-    pub fn ask(&mut self, text: &str) -> Option<Message> {
+    pub fn request(&mut self, text: &str) -> Option<Message> {
         self.write(text);
-        self.read()
+        self.read_response()
     }
 }
 
-pub fn get(id: &str, more: &str) -> String {
+pub fn get(id: &str, extra_headers: &str) -> String {
     format!(
         "GET /api?x=1 HTTP/1.1\r\nHost: origin.svc\r\nX-Call-Id: {id}\r\nX-Call-Class: read\r\nX-Caller: acme\r\n\
-         X-Budget-Ms: 3000\r\n{more}\r\n"
+         X-Budget-Ms: 3000\r\n{extra_headers}\r\n"
     )
 }
 
-pub fn post(class: &str, id: &str, more: &str, body: &str) -> String {
+pub fn post(class: &str, id: &str, extra_headers: &str, body: &str) -> String {
     format!(
         "POST /api HTTP/1.1\r\nHost: origin.svc\r\nX-Call-Id: {id}\r\nX-Call-Class: {class}\r\nX-Caller: acme\r\n\
-         X-Budget-Ms: 3000\r\nContent-Length: {}\r\n{more}\r\n{body}",
+         X-Budget-Ms: 3000\r\nContent-Length: {}\r\n{extra_headers}\r\n{body}",
         body.len()
     )
 }
--- a/node/tests/crossings.rs
+++ b/node/tests/crossings.rs
@@ -1,4 +1,4 @@
-//! Two events that cross, with the node as a process: what is forced here needs a real limit or two parties.
+//! Coinciding failures that need a real descriptor limit or several parties to reproduce.
 
 mod common;
 
@@ -11,52 +11,52 @@
 use common::*;
 use serde_json::json;
 
-fn serving(body: &'static str) -> Backend {
-    Backend::new(move |_| Does::Writes(ok(body)))
+fn backend_responding(body: &'static str) -> Backend {
+    Backend::new(move |_| Behavior::Respond(ok(body)))
 }
 
-/// Idle clients take every descriptor that clients may have, while discovery is silent: whoever has a connection is
-/// served, and at discovery's return the node has the descriptors to ask it, and to open connections to new backends.
+/// Guards against idle clients that use up the file descriptors which the node needs for discovery and for connections to
+/// new backends.
 #[test]
-fn a_node_full_of_idle_clients_hears_discovery_when_it_is_back() {
-    let (old, new) = (serving("old"), serving("new"));
-    let down = Arc::new(AtomicBool::new(false));
-    let silent = down.clone();
-    let discovery = Discovery::scripted(json!([target("s-0", old.at, "Ready")]), move |_| {
-        if silent.load(Ordering::SeqCst) { Says::Nothing } else { Says::List }
+fn a_node_full_of_idle_clients_reconnects_to_discovery() {
+    let (old, new) = (backend_responding("old"), backend_responding("new"));
+    let hanging = Arc::new(AtomicBool::new(false));
+    let hangs = hanging.clone();
+    let discovery = Discovery::with_script(json!([target("s-0", old.address, "Ready")]), move |_| {
+        if hangs.load(Ordering::SeqCst) { CallBehavior::Hang } else { CallBehavior::SendList }
     });
-    let mut config = config(discovery.at, json!([]));
+    let mut config = config(discovery.address, json!([]));
     config["limits"]["sockets"] = json!(64);
-    let node = Node::start_within_limits(&config);
-    discovery.watched_from(1);
-    down.store(true, Ordering::SeqCst);
-    let before = discovery.called();
-    until("a call stays without an answer", || discovery.called() > before + 4);
-    let idle: Vec<TcpStream> = (0..120).map(|_| TcpStream::connect(node.at).unwrap()).collect();
-    assert_eq!(node.ask(&get("f1", "")).body, b"old");
-    discovery.set(json!([target("s-1", new.at, "Ready")]));
-    down.store(false, Ordering::SeqCst);
-    discovery.watched_from(discovery.rev());
-    assert_eq!(node.ask(&get("f2", "")).body, b"new");
+    let node = Node::start_with_descriptor_limit(&config);
+    discovery.wait_for_watch_from(1);
+    hanging.store(true, Ordering::SeqCst);
+    let before = discovery.call_count();
+    wait_until("calls to discovery hang", || discovery.call_count() > before + 4);
+    let idle: Vec<TcpStream> = (0..120).map(|_| TcpStream::connect(node.address).unwrap()).collect();
+    assert_eq!(node.request(&get("f1", "")).body, b"old");
+    discovery.set_targets(json!([target("s-1", new.address, "Ready")]));
+    hanging.store(false, Ordering::SeqCst);
+    discovery.wait_for_watch_from(discovery.rev());
+    assert_eq!(node.request(&get("f2", "")).body, b"new");
     drop(idle);
     assert!(node.log_lines("Too many open files").is_empty(), "{:?}", node.log_lines("open files"));
 }
 
-/// What an attempt tells its backend is what is left to the client then, and not what there was at first.
+/// Guards against sending the client's original budget with a later attempt.
 #[test]
-fn a_further_attempt_tells_what_is_left() {
-    let pause = Duration::from_millis(300);
+fn a_further_attempt_sends_the_remaining_budget() {
+    let delay = Duration::from_millis(300);
     let first = Arc::new(AtomicBool::new(true));
     let backend = Backend::new(move |_| {
         if first.swap(false, Ordering::SeqCst) {
-            thread::sleep(pause);
-            return Does::Ends(String::new());
+            thread::sleep(delay);
+            return Behavior::RespondAndClose(String::new());
         }
-        Does::Writes(ok("yes"))
+        Behavior::Respond(ok("yes"))
     });
-    let (node, _discovery) = Node::with(&[&backend]);
-    assert_eq!(node.ask(&get("t1", "")).status(), 200);
-    let told = |message: Message| message.value("x-budget-ms").unwrap().parse::<u64>().unwrap();
-    let (before, after) = (told(backend.next()), told(backend.next()));
+    let (node, _discovery) = Node::with_backends(&[&backend]);
+    assert_eq!(node.request(&get("t1", "")).status(), 200);
+    let sent_budget = |message: Message| message.header("x-budget-ms").unwrap().parse::<u64>().unwrap();
+    let (before, after) = (sent_budget(backend.next_request()), sent_budget(backend.next_request()));
     assert!(before <= 3000 && after + 300 <= before, "{before} and then {after}");
 }
--- a/node/tests/serving.rs
+++ b/node/tests/serving.rs
@@ -1,4 +1,4 @@
-//! What clients and backends see of a node in service.
+//! Forwarding of requests and responses between clients and backends.
 
 mod common;
 
@@ -8,34 +8,35 @@
 use common::*;
 use serde_json::json;
 
-fn always(does: Does) -> Backend {
-    Backend::new(move |_| does.clone())
+fn backend_with(behavior: Behavior) -> Backend {
+    Backend::new(move |_| behavior.clone())
 }
 
 #[test]
-fn passes_a_call_on_unchanged_and_once() {
-    let backend = always(Does::Writes(ok("seated")));
-    let (node, _discovery) = Node::with(&[&backend]);
-    let answer = node.ask(&post("join", "a1b2", "Idempotency-Key: k-77\r\nX-Budget-Ms-Not: 1\r\n", "lobby"));
-    assert_eq!((answer.status(), answer.body.as_slice()), (200, b"seated".as_slice()));
-    let got = backend.next();
-    assert_eq!(got.first, "POST /api HTTP/1.1");
-    assert_eq!(got.body, b"lobby");
-    assert_eq!(got.values("x-call-id"), ["a1b2"]);
-    assert_eq!(got.values("idempotency-key"), ["k-77"]);
-    assert_eq!(got.values("content-length"), ["5"]);
-    let [budget] = got.values("x-budget-ms")[..] else { panic!("one budget: {got:?}") };
+fn forwards_a_request_unchanged_and_once() {
+    let backend = backend_with(Behavior::Respond(ok("seated")));
+    let (node, _discovery) = Node::with_backends(&[&backend]);
+    let response =
+        node.request(&post("join", "a1b2", "Idempotency-Key: k-77\r\nX-Budget-Ms-Not: 1\r\n", "lobby"));
+    assert_eq!((response.status(), response.body.as_slice()), (200, b"seated".as_slice()));
+    let request = backend.next_request();
+    assert_eq!(request.start_line, "POST /api HTTP/1.1");
+    assert_eq!(request.body, b"lobby");
+    assert_eq!(request.header_values("x-call-id"), ["a1b2"]);
+    assert_eq!(request.header_values("idempotency-key"), ["k-77"]);
+    assert_eq!(request.header_values("content-length"), ["5"]);
+    let [budget] = request.header_values("x-budget-ms")[..] else { panic!("one budget: {request:?}") };
     assert!(budget.parse::<u64>().unwrap() <= 3000, "{budget}");
-    let answer = node.ask(&get("a1b3", ""));
-    assert_eq!(answer.status(), 200);
-    assert_eq!(backend.next().first, "GET /api?x=1 HTTP/1.1");
-    assert_eq!(backend.count(), 0);
+    let response = node.request(&get("a1b3", ""));
+    assert_eq!(response.status(), 200);
+    assert_eq!(backend.next_request().start_line, "GET /api?x=1 HTTP/1.1");
+    assert_eq!(backend.request_count(), 0);
 }
 
 #[test]
-fn bad_input_is_answered_and_reaches_no_backend() {
-    let backend = always(Does::Writes(ok("no")));
-    let (node, _discovery) = Node::with(&[&backend]);
+fn invalid_requests_are_rejected_and_reach_no_backend() {
+    let backend = backend_with(Behavior::Respond(ok("no")));
+    let (node, _discovery) = Node::with_backends(&[&backend]);
     let large = "x".repeat(64 * 1024 + 1);
     let key = "Idempotency-Key: k\r\n";
     let cases = [
@@ -55,158 +56,160 @@
         (400, post("pay", "1", key, "")),
         (413, post("join", "1", key, &large)),
     ];
-    for (wanted, text) in cases {
-        assert_eq!(node.ask(&text).status(), wanted, "{}", &text[..text.len().min(300)]);
+    for (expected, text) in cases {
+        assert_eq!(node.request(&text).status(), expected, "{}", &text[..text.len().min(300)]);
     }
-    assert_eq!(node.ask("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n").status(), 200);
-    assert_eq!(node.ask(&get("last", "")).status(), 200);
-    assert_eq!(backend.next().value("x-call-id"), Some("last"));
-    assert_eq!(backend.count(), 0);
+    assert_eq!(node.request("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n").status(), 200);
+    assert_eq!(node.request(&get("last", "")).status(), 200);
+    assert_eq!(backend.next_request().header("x-call-id"), Some("last"));
+    assert_eq!(backend.request_count(), 0);
 }
 
-/// Each of these may have run. An unsafe call then gets no other attempt and no refusal, which would tell the
-/// client that trying again does no harm.
+/// Guards against running an unsafe request twice: after an outcome that leaves open whether it ran, there must be no
+/// further attempt, and no rejection, which tells the client that a retry is safe.
 #[test]
-fn an_unsafe_call_that_may_have_run_fails() {
-    let spoilt = [
-        Does::Writes(status(500, "")),
-        Does::Writes(status(503, "")),
-        Does::Writes(status(504, "X-Rejected: 0\r\n")),
-        Does::Writes(status(302, "")),
-        Does::Ends(String::new()),
-        Does::Ends("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".to_owned()),
-        Does::Ends("HTTP/1.1 200 OK\r\n\r\nwhole or half".to_owned()),
-        Does::Ends("noise\r\n\r\n".to_owned()),
-        Does::Writes(ok(&"x".repeat(64 * 1024 + 1))),
-        Does::Hangs,
+fn an_unsafe_request_that_may_have_run_is_not_retried() {
+    let behaviors = [
+        Behavior::Respond(status(500, "")),
+        Behavior::Respond(status(503, "")),
+        Behavior::Respond(status(504, "X-Rejected: 0\r\n")),
+        Behavior::Respond(status(302, "")),
+        Behavior::RespondAndClose(String::new()),
+        Behavior::RespondAndClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".to_owned()),
+        Behavior::RespondAndClose("HTTP/1.1 200 OK\r\n\r\nwhole or half".to_owned()),
+        Behavior::RespondAndClose("noise\r\n\r\n".to_owned()),
+        Behavior::Respond(ok(&"x".repeat(64 * 1024 + 1))),
+        Behavior::Hang,
     ];
-    for (n, does) in spoilt.into_iter().enumerate() {
-        let (first, second) = (always(does.clone()), always(does));
-        let (node, _discovery) = Node::with(&[&first, &second]);
-        let answer = node.ask(&post("pay", "u1", "", "").replace("3000", "700"));
-        assert_eq!(answer.status(), 502, "case {n}");
-        assert_eq!(first.count() + second.count(), 1, "case {n}");
+    for (n, behavior) in behaviors.into_iter().enumerate() {
+        let (first, second) = (backend_with(behavior.clone()), backend_with(behavior));
+        let (node, _discovery) = Node::with_backends(&[&first, &second]);
+        let response = node.request(&post("pay", "u1", "", "").replace("3000", "700"));
+        assert_eq!(response.status(), 502, "case {n}");
+        assert_eq!(first.request_count() + second.request_count(), 1, "case {n}");
     }
 }
 
-/// Turned away it never ran, so even an unsafe call goes elsewhere, or is refused where there is nobody.
+/// A rejected request never ran, so even an unsafe one is sent to another backend, or rejected if there is none.
 #[test]
-fn an_unsafe_call_that_never_ran_goes_elsewhere() {
-    let away = |code| always(Does::Writes(status(code, "X-Rejected: 1\r\n")));
-    let serves = always(Does::Writes(ok("paid")));
-    let (full, other) = (away(503), away(504));
-    let (node, _discovery) = Node::with(&[&full, &serves]);
+fn an_unsafe_request_that_was_rejected_is_sent_elsewhere() {
+    let rejecting = |code| backend_with(Behavior::Respond(status(code, "X-Rejected: 1\r\n")));
+    let healthy = backend_with(Behavior::Respond(ok("paid")));
+    let (full, other) = (rejecting(503), rejecting(504));
+    let (node, _discovery) = Node::with_backends(&[&full, &healthy]);
     for n in 0..8 {
-        assert_eq!(node.ask(&post("pay", &format!("p{n}"), "", "")).status(), 200);
+        assert_eq!(node.request(&post("pay", &format!("p{n}"), "", "")).status(), 200);
     }
-    assert_eq!(serves.count(), 8);
-    let (node, _discovery) = Node::with(&[&other]);
-    assert_eq!(node.ask(&post("pay", "p9", "", "")).status(), 503);
+    assert_eq!(healthy.request_count(), 8);
+    let (node, _discovery) = Node::with_backends(&[&other]);
+    assert_eq!(node.request(&post("pay", "p9", "", "")).status(), 503);
 }
 
-/// A process that has died refuses connections: nothing ran, and the module tries another.
+/// Guards against failing a request on a refused connection, where nothing ran and another backend can serve it.
 #[test]
-fn a_dead_backend_costs_no_request() {
-    let dead = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = dead.local_addr().unwrap();
-    drop(dead);
-    let serves = always(Does::Writes(ok("paid")));
-    let discovery = Discovery::new(json!([target("s-0", at, "Ready"), target("s-1", serves.at, "Ready")]));
-    let node = Node::start(&config(discovery.at, json!([])));
-    discovery.watched_from(1);
+fn a_backend_that_refuses_connections_fails_no_request() {
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap();
+    drop(listener);
+    let healthy = backend_with(Behavior::Respond(ok("paid")));
+    let discovery =
+        Discovery::new(json!([target("s-0", address, "Ready"), target("s-1", healthy.address, "Ready")]));
+    let node = Node::start(&config(discovery.address, json!([])));
+    discovery.wait_for_watch_from(1);
     for n in 0..8 {
-        assert_eq!(node.ask(&post("pay", &format!("p{n}"), "", "")).status(), 200);
+        assert_eq!(node.request(&post("pay", &format!("p{n}"), "", "")).status(), 200);
     }
-    assert_eq!(serves.count(), 8);
+    assert_eq!(healthy.request_count(), 8);
 }
 
-/// Whoever is refused is told when to come back, also where the site says that no client heeds it.
+/// Guards against a rejection without `Retry-After`, even with the `retry-after` setting off.
 #[test]
-fn a_refusal_says_when_to_come_back() {
-    let away = always(Does::Writes(status(503, "X-Rejected: 1\r\n")));
-    let discovery = Discovery::new(json!([target("s-0", away.at, "Ready")]));
-    for passed_on in [true, false] {
-        let mut config = config(discovery.at, json!([]));
-        config["settings"]["policy-limits"]["retry-after"] = json!(passed_on);
+fn a_rejection_carries_retry_after() {
+    let rejecting = backend_with(Behavior::Respond(status(503, "X-Rejected: 1\r\n")));
+    let discovery = Discovery::new(json!([target("s-0", rejecting.address, "Ready")]));
+    for retry_after_allowed in [true, false] {
+        let mut config = config(discovery.address, json!([]));
+        config["settings"]["policy-limits"]["retry-after"] = json!(retry_after_allowed);
         let node = Node::start(&config);
-        until("the node is ready", || {
-            node.ask("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n").status() == 200
+        wait_until("the node is ready", || {
+            node.request("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n").status() == 200
         });
-        let answer = node.ask(&get("r1", ""));
-        assert_eq!(answer.status(), 503);
-        let pause: f64 = answer.value("retry-after").expect("advice").parse().expect("seconds");
-        assert!(pause > 0.0 && pause <= 1.0, "{pause}");
+        let response = node.request(&get("r1", ""));
+        assert_eq!(response.status(), 503);
+        let retry_after: f64 =
+            response.header("retry-after").expect("a Retry-After header").parse().expect("seconds");
+        assert!(retry_after > 0.0 && retry_after <= 1.0, "{retry_after}");
     }
 }
 
-/// A silent backend must not hold a request past its client's time.
+/// Guards against holding a request past its client's deadline.
 #[test]
-fn a_silent_backend_is_given_up() {
-    let backend = always(Does::Hangs);
-    let (node, _discovery) = Node::with(&[&backend]);
-    let answer = node.ask(&get("s1", "").replace("3000", "200"));
-    assert_ne!(answer.status(), 200);
-    // Nothing that is left of it stands in the way of the next.
-    assert_ne!(node.ask(&get("s2", "").replace("3000", "200")).status(), 200);
+fn a_hanging_backend_does_not_hold_a_request_past_its_deadline() {
+    let backend = backend_with(Behavior::Hang);
+    let (node, _discovery) = Node::with_backends(&[&backend]);
+    let response = node.request(&get("s1", "").replace("3000", "200"));
+    assert_ne!(response.status(), 200);
+    // The abandoned attempt does not block the next request.
+    assert_ne!(node.request(&get("s2", "").replace("3000", "200")).status(), 200);
 }
 
-/// The backend closes after each answer without saying so: the pooled connection is dead by the next send,
-/// and writing to it would turn an unsafe call into one that may have run.
+/// Guards against writing an unsafe request to a pooled connection that its backend has closed: it would then count as one
+/// that may have run.
 #[test]
-fn a_connection_closed_while_idle_is_not_used() {
-    let backend = always(Does::Ends(ok("paid")));
-    let (node, _discovery) = Node::with(&[&backend]);
-    let mut client = Client::to(node.at);
+fn a_pooled_connection_closed_by_its_backend_is_not_used() {
+    let backend = backend_with(Behavior::RespondAndClose(ok("paid")));
+    let (node, _discovery) = Node::with_backends(&[&backend]);
+    let mut client = Client::connect(node.address);
     for n in 1..=20 {
-        let answer = client.ask(&post("pay", &format!("p{n}"), "", "")).expect("an answer");
-        assert_eq!(answer.status(), 200, "call {n}");
-        until("the node closes its end", || backend.closed.load(Ordering::SeqCst) == n);
+        let response = client.request(&post("pay", &format!("p{n}"), "", "")).expect("a response");
+        assert_eq!(response.status(), 200, "call {n}");
+        wait_until("the node closes the connection", || backend.closed.load(Ordering::SeqCst) == n);
     }
     assert_eq!(backend.connections.load(Ordering::SeqCst), 20);
 }
 
-/// Connections are used again: a new one costs the backend work.
+/// Guards against opening a new connection for each request.
 #[test]
-fn connections_are_kept() {
-    let backend = always(Does::Writes(ok("yes")));
-    let (node, _discovery) = Node::with(&[&backend]);
-    let mut client = Client::to(node.at);
+fn connections_are_reused() {
+    let backend = backend_with(Behavior::Respond(ok("yes")));
+    let (node, _discovery) = Node::with_backends(&[&backend]);
+    let mut client = Client::connect(node.address);
     for n in 0..10 {
-        assert_eq!(client.ask(&get(&format!("k{n}"), "")).expect("an answer").status(), 200);
+        assert_eq!(client.request(&get(&format!("k{n}"), "")).expect("a response").status(), 200);
     }
     assert_eq!(backend.connections.load(Ordering::SeqCst), 1);
 }
 
 #[test]
-fn a_load_report_of_any_shape_does_no_harm() {
+fn a_malformed_load_report_is_ignored() {
     for report in ["{\"util\":0.4}", "{\"util\":\"high\"}", "{\"util\":1e999}", "{", "[]", "\u{e9}"] {
         let text = format!("HTTP/1.1 200 OK\r\nX-Load-Report: {report}\r\nContent-Length: 2\r\n\r\nok");
-        let backend = always(Does::Writes(text));
-        let (node, _discovery) = Node::with(&[&backend]);
+        let backend = backend_with(Behavior::Respond(text));
+        let (node, _discovery) = Node::with_backends(&[&backend]);
         for n in 0..3 {
-            assert_eq!(node.ask(&get(&format!("r{n}"), "")).status(), 200, "{report}");
+            assert_eq!(node.request(&get(&format!("r{n}"), "")).status(), 200, "{report}");
         }
     }
 }
 
-/// A client that hangs up must leave nothing behind that the node trips over, nor be answered by mistake.
+/// Guards against giving the response of an abandoned request to another client.
 #[test]
-fn a_client_that_hangs_up_is_let_go() {
+fn a_client_disconnect_does_not_affect_later_requests() {
     let gate = Arc::new(Gate::default());
     let first = AtomicBool::new(true);
-    let waits = gate.clone();
+    let gate_for_backend = gate.clone();
     let backend = Backend::new(move |_| match first.swap(false, Ordering::SeqCst) {
-        true => Does::Waits(waits.clone(), ok("late")),
-        false => Does::Writes(ok("yes")),
+        true => Behavior::RespondWhenOpen(gate_for_backend.clone(), ok("late")),
+        false => Behavior::Respond(ok("yes")),
     });
-    let (node, _discovery) = Node::with(&[&backend]);
-    let mut client = Client::to(node.at);
+    let (node, _discovery) = Node::with_backends(&[&backend]);
+    let mut client = Client::connect(node.address);
     client.write(&get("g1", ""));
-    assert_eq!(backend.next().value("x-call-id"), Some("g1"));
+    assert_eq!(backend.next_request().header("x-call-id"), Some("g1"));
     drop(client);
     gate.open();
-    let answer = node.ask(&get("g2", ""));
-    assert_eq!((answer.status(), answer.body.as_slice()), (200, b"yes".as_slice()));
-    assert_eq!(backend.next().value("x-call-id"), Some("g2"));
-    assert_eq!(backend.count(), 0);
+    let response = node.request(&get("g2", ""));
+    assert_eq!((response.status(), response.body.as_slice()), (200, b"yes".as_slice()));
+    assert_eq!(backend.next_request().header("x-call-id"), Some("g2"));
+    assert_eq!(backend.request_count(), 0);
 }
--- a/node/tests/silence.rs
+++ b/node/tests/silence.rs
@@ -1,4 +1,4 @@
-//! Discovery that says nothing: when the list is asked for again, and that what was missed is acted upon.
+//! Discovery that does not respond: calls are retried in time, and missed changes are applied.
 
 mod common;
 
@@ -9,139 +9,146 @@
 use common::*;
 use serde_json::{Value, json};
 
-fn serving(body: &'static str) -> Backend {
-    Backend::new(move |_| Does::Writes(ok(body)))
+fn backend_responding(body: &'static str) -> Backend {
+    Backend::new(move |_| Behavior::Respond(ok(body)))
 }
 
-/// A node that knows no list yet, so that its first call is one without a wait.
-fn of_kind(discovery: &Discovery, kind: &str) -> Value {
-    let mut config = config(discovery.at, json!([]));
+/// A configuration without a known list, so that the node's first call returns at once.
+fn config_for_kind(discovery: &Discovery, kind: &str) -> Value {
+    let mut config = config(discovery.address, json!([]));
     config["known"] = Value::Null;
     config["settings"]["discovery"] = json!(kind);
     config
 }
 
-/// Waits until this call, by its number from 0, has come after the one before, and holds it to a time that leaves a
-/// loaded machine seconds, yet not as many as the node once took.
-fn comes_within(discovery: &Discovery, call: usize, span: Duration) {
-    until("the call before it", || discovery.called() >= call);
+/// Waits for the call with this number, counted from 0, and checks that it follows the one before within the limit.
+fn expect_call_within(discovery: &Discovery, call: usize, limit: Duration) {
+    wait_until("the previous call is made", || discovery.call_count() >= call);
     let before = Instant::now();
-    until("the call", || discovery.called() > call);
-    assert!(before.elapsed() < span, "call {call} came after {:?}", before.elapsed());
+    wait_until("the call is made", || discovery.call_count() > call);
+    assert!(before.elapsed() < limit, "call {call} came after {:?}", before.elapsed());
 }
 
-/// A watch that had fallen silent was waited out for 6 s, and only then did the next call go out.
+/// Guards against waiting for a hanging watch to time out before the next call.
 #[test]
-fn beside_a_watch_that_says_nothing_another_call_goes_out() {
-    let (old, new) = (serving("old"), serving("new"));
+fn another_call_is_made_beside_a_hanging_watch() {
+    let (old, new) = (backend_responding("old"), backend_responding("new"));
     // Call 0 brings the list, call 1 is the watch.
-    let discovery = Discovery::scripted(json!([target("s-0", old.at, "Ready")]), |call| match call {
-        1 => Says::Nothing,
-        _ => Says::List,
+    let discovery = Discovery::with_script(json!([target("s-0", old.address, "Ready")]), |call| match call {
+        1 => CallBehavior::Hang,
+        _ => CallBehavior::SendList,
     });
-    let node = Node::start(&config(discovery.at, json!([])));
-    discovery.watched_from(1);
-    assert_eq!(node.ask(&get("w0", "")).body, b"old");
-    comes_within(&discovery, 2, Duration::from_secs(5));
-    discovery.set(json!([target("s-0", old.at, "Terminating"), target("s-1", new.at, "Ready")]));
-    discovery.watched_from(discovery.rev());
+    let node = Node::start(&config(discovery.address, json!([])));
+    discovery.wait_for_watch_from(1);
+    assert_eq!(node.request(&get("w0", "")).body, b"old");
+    expect_call_within(&discovery, 2, Duration::from_secs(5));
+    discovery
+        .set_targets(json!([target("s-0", old.address, "Terminating"), target("s-1", new.address, "Ready")]));
+    discovery.wait_for_watch_from(discovery.rev());
     for n in 1..10 {
-        assert_eq!(node.ask(&get(&format!("w{n}"), "")).body, b"new");
+        assert_eq!(node.request(&get(&format!("w{n}"), "")).body, b"new");
     }
 }
 
-/// While discovery is away each call was waited out for 6 s (21 s where it is asked for): when it came back, the next
-/// one went out long after what it then had counted as told.
+/// Guards against waiting for a full timeout on each hanging call, which delays changes once discovery responds again.
 #[test]
-fn whoever_swallows_calls_is_asked_again_soon() {
+fn hanging_calls_are_retried_soon() {
     for kind in ["pushed", "on_request"] {
-        let backend = serving("yes");
-        let away = Arc::new(AtomicBool::new(true));
-        let is_away = away.clone();
-        let discovery = Discovery::scripted(json!([target("s-0", backend.at, "Ready")]), move |_| {
-            if is_away.load(Ordering::SeqCst) { Says::Nothing } else { Says::List }
+        let backend = backend_responding("yes");
+        let hanging = Arc::new(AtomicBool::new(true));
+        let hangs = hanging.clone();
+        let discovery = Discovery::with_script(json!([target("s-0", backend.address, "Ready")]), move |_| {
+            if hangs.load(Ordering::SeqCst) { CallBehavior::Hang } else { CallBehavior::SendList }
         });
-        let node = Node::start(&of_kind(&discovery, kind));
-        until("it asks again and again", || discovery.called() >= 4);
-        away.store(false, Ordering::SeqCst);
-        discovery.watched_from(1);
-        assert_eq!(node.ask(&get("s1", "")).status(), 200, "{kind}");
+        let node = Node::start(&config_for_kind(&discovery, kind));
+        wait_until("calls are retried", || discovery.call_count() >= 4);
+        hanging.store(false, Ordering::SeqCst);
+        discovery.wait_for_watch_from(1);
+        assert_eq!(node.request(&get("s1", "")).status(), 200, "{kind}");
     }
 }
 
-/// An answer that trickles in is no answer, and stands in the way of none.
+/// Guards against a slow, endless response that blocks further calls.
 #[test]
-fn an_answer_that_trickles_in_is_not_waited_for() {
+fn a_trickling_response_is_not_waited_for() {
     for kind in ["pushed", "on_request"] {
-        let backend = serving("yes");
-        let discovery = Discovery::scripted(json!([target("s-0", backend.at, "Ready")]), |call| match call {
-            0 => Says::Drips,
-            1 => Says::Ends,
-            _ => Says::List,
-        });
-        let node = Node::start(&of_kind(&discovery, kind));
-        discovery.watched_from(1);
-        assert_eq!(node.ask(&get("t1", "")).status(), 200, "{kind}");
+        let backend = backend_responding("yes");
+        let discovery =
+            Discovery::with_script(json!([target("s-0", backend.address, "Ready")]), |call| match call {
+                0 => CallBehavior::Trickle,
+                1 => CallBehavior::Close,
+                _ => CallBehavior::SendList,
+            });
+        let node = Node::start(&config_for_kind(&discovery, kind));
+        discovery.wait_for_watch_from(1);
+        assert_eq!(node.request(&get("t1", "")).status(), 200, "{kind}");
     }
 }
 
-/// What the agent has counts from a process's first moment: a list that is older than the agent's word is overtaken.
+/// Guards against serving from an outdated configured list when the first call to discovery is lost.
 #[test]
-fn a_new_process_has_the_agents_word_though_its_first_call_is_lost() {
-    let (old, new) = (serving("old"), serving("new"));
-    let listed = json!([target("s-0", old.at, "Terminating"), target("s-1", new.at, "Ready")]);
-    let discovery = Discovery::scripted(listed, |call| if call == 0 { Says::Nothing } else { Says::List });
-    let node = Node::start(&config(discovery.at, json!([target("s-0", old.at, "Ready")])));
-    comes_within(&discovery, 1, Duration::from_secs(4));
-    discovery.watched_from(1);
-    assert_eq!(node.ask(&get("p1", "")).body, b"new");
-    assert_eq!(old.count(), 0);
+fn a_new_node_gets_the_list_though_its_first_call_hangs() {
+    let (old, new) = (backend_responding("old"), backend_responding("new"));
+    let listed = json!([target("s-0", old.address, "Terminating"), target("s-1", new.address, "Ready")]);
+    let discovery =
+        Discovery::with_script(
+            listed,
+            |call| if call == 0 { CallBehavior::Hang } else { CallBehavior::SendList },
+        );
+    let node = Node::start(&config(discovery.address, json!([target("s-0", old.address, "Ready")])));
+    expect_call_within(&discovery, 1, Duration::from_secs(4));
+    discovery.wait_for_watch_from(1);
+    assert_eq!(node.request(&get("p1", "")).body, b"new");
+    assert_eq!(old.request_count(), 0);
 }
 
-/// After SIGHUP it is the new address that counts, and it may say nothing at first.
+/// Guards against losing discovery when a new address, set by SIGHUP, does not respond at first.
 #[test]
-fn a_new_address_that_swallows_the_first_call_is_asked_again() {
-    let (old, new) = (serving("old"), serving("new"));
-    let before = Discovery::new(json!([target("s-0", old.at, "Ready")]));
-    let after = Discovery::scripted(json!([target("s-1", new.at, "Ready")]), |call| match call {
-        0 | 1 => Says::Nothing,
-        _ => Says::List,
+fn a_new_discovery_address_is_retried_after_its_first_call_hangs() {
+    let (old, new) = (backend_responding("old"), backend_responding("new"));
+    let before = Discovery::new(json!([target("s-0", old.address, "Ready")]));
+    let after = Discovery::with_script(json!([target("s-1", new.address, "Ready")]), |call| match call {
+        0 | 1 => CallBehavior::Hang,
+        _ => CallBehavior::SendList,
     });
-    let mut config = config(before.at, json!([]));
+    let mut config = config(before.address, json!([]));
     let node = Node::start(&config);
-    before.watched_from(1);
-    config["discovery"] = json!(after.at.to_string());
+    before.wait_for_watch_from(1);
+    config["discovery"] = json!(after.address.to_string());
     node.reconfigure(&config.to_string());
-    comes_within(&after, 2, Duration::from_secs(4));
-    after.watched_from(1);
-    assert_eq!(node.ask(&get("h1", "")).body, b"new");
-    assert!(after.calls.lock().unwrap()[..3].iter().all(|call| !call.contains("from=")), "the whole list");
+    expect_call_within(&after, 2, Duration::from_secs(4));
+    after.wait_for_watch_from(1);
+    assert_eq!(node.request(&get("h1", "")).body, b"new");
+    assert!(
+        after.calls.lock().unwrap()[..3].iter().all(|call| !call.contains("from=")),
+        "the full list is requested"
+    );
 }
 
-/// Lists may come indented.
+/// Guards against a size limit that only compact JSON meets.
 #[test]
-fn an_indented_list_is_a_list() {
-    let backend = serving("yes");
+fn an_indented_list_is_accepted() {
+    let backend = backend_responding("yes");
     let discovery = Discovery::new(json!([]));
-    let targets: Vec<Value> = (0..200).map(|n| target(&format!("s-{n}"), backend.at, "Ready")).collect();
+    let targets: Vec<Value> = (0..200).map(|n| target(&format!("s-{n}"), backend.address, "Ready")).collect();
     let list = json!({"rev": 2, "all": true, "targets": targets});
-    let node = Node::start(&config(discovery.at, json!([])));
-    discovery.watched_from(1);
-    discovery.set_text(2, serde_json::to_string_pretty(&list).unwrap());
-    discovery.watched_from(2);
-    assert_eq!(node.ask(&get("i1", "")).status(), 200);
-    assert!(!node.logged("not a list"));
+    let node = Node::start(&config(discovery.address, json!([])));
+    discovery.wait_for_watch_from(1);
+    discovery.set_response(2, serde_json::to_string_pretty(&list).unwrap());
+    discovery.wait_for_watch_from(2);
+    assert_eq!(node.request(&get("i1", "")).status(), 200);
+    assert!(!node.log_contains("not a list"));
 }
 
-/// On a list that is well one call at a time is made, and it waits.
+/// Guards against extra calls to discovery while its watch is answered.
 #[test]
-fn a_watch_that_is_answered_costs_one_call_at_a_time() {
-    let backend = serving("yes");
-    let (_node, discovery) = Node::with(&[&backend]);
-    let (before, began) = (discovery.called(), Instant::now());
+fn a_healthy_watch_makes_one_call_at_a_time() {
+    let backend = backend_responding("yes");
+    let (_node, discovery) = Node::with_backends(&[&backend]);
+    let (before, began) = (discovery.call_count(), Instant::now());
     std::thread::sleep(Duration::from_millis(5000));
-    // A watch waits for 2 s; one may have been about to end.
-    let most = 1.0 + began.elapsed().as_secs_f64() / 2.0;
-    let called = discovery.called() - before;
-    assert!((called as f64) <= most, "{:?}", discovery.calls.lock().unwrap());
+    // A watch lasts 2 s; one may have been about to end.
+    let max_calls = 1.0 + began.elapsed().as_secs_f64() / 2.0;
+    let call_count = discovery.call_count() - before;
+    assert!((call_count as f64) <= max_calls, "{:?}", discovery.calls.lock().unwrap());
 }
--- a/node/tests/soak.rs
+++ b/node/tests/soak.rs
@@ -1,9 +1,8 @@
-//! A soak of shutdowns on real processes, from a seed: clients write on every open connection until the
-//! node is gone, signals come in series and on top of each other, servers hang, in some runs idle clients
-//! crowd the node, and SIGKILL comes as early as it may. Whatever reached a server is answered, and so is
-//! the first request on every connection that the node accepted.
+//! Soak test of graceful shutdowns with randomized runs: busy and idle clients, hanging backends, repeated signals, and
+//! SIGKILL at the earliest time allowed. Every request that reached a backend must be answered, and so must the first
+//! request on every accepted connection.
 //!
-//! `SOAK_SEEDS=60 cargo test -p badgerpost --test soak` plays more seeds.
+//! `SOAK_SEEDS=60 cargo test -p badgerpost --test soak` runs more seeds.
 
 mod common;
 
@@ -17,43 +16,43 @@
 use common::*;
 use serde_json::{Value, json};
 
-/// Seeds that are always played, and how many of them at a time.
+/// The default number of seeds, and how many of them run in parallel.
 const SEEDS: u64 = 8;
-const AT_A_TIME: u64 = 4;
-/// SIGKILL comes no sooner than the longest deadline and this after SIGTERM.
-const STAYS: Duration = Duration::from_millis(700);
-/// New connections come for so long after SIGTERM.
-const STILL_COMING: Duration = Duration::from_millis(300);
+const PARALLEL_RUNS: u64 = 4;
+/// SIGKILL follows SIGTERM after the longest deadline and this margin.
+const KILL_MARGIN: Duration = Duration::from_millis(700);
+/// How long after SIGTERM clients open new connections.
+const CONNECT_PERIOD: Duration = Duration::from_millis(300);
 
-/// What a seed has drawn.
-struct Drawn(u64);
+/// A seeded pseudorandom generator.
+struct Random(u64);
 
-impl Drawn {
+impl Random {
     fn below(&mut self, count: u64) -> u64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 33) % count
     }
 }
 
-/// What the clients of a run have seen.
+/// The results of all clients of a run.
 #[derive(Default)]
-struct Seen {
+struct ClientResults {
     answered: AtomicU32,
-    /// Requests whose connection ended without an answer.
+    /// Requests whose connection was closed without a response.
     unanswered: Mutex<Vec<String>>,
-    /// Connections whose first request got no answer.
-    lost_first: Mutex<Vec<String>>,
+    /// Requests without a response that were the first on their connection.
+    lost_first_requests: Mutex<Vec<String>>,
 }
 
-/// A fleet's settings with this deadline.
+/// A configuration in which every class has this deadline.
 fn config_with(discovery: &Discovery, backends: &[Backend], deadline: Duration) -> Value {
     let targets: Vec<Value> = backends
         .iter()
         .enumerate()
-        .map(|(number, backend)| target(&format!("s{number}"), backend.at, "Ready"))
+        .map(|(number, backend)| target(&format!("s{number}"), backend.address, "Ready"))
         .collect();
-    discovery.set(json!(targets));
-    let mut config = config(discovery.at, json!(targets));
+    discovery.set_targets(json!(targets));
+    let mut config = config(discovery.address, json!(targets));
     for class in config["settings"]["classes"].as_array_mut().expect("a list") {
         class["deadline-ns"] = json!(deadline.as_nanos() as u64);
         class["on-time-ns"] = json!(deadline.as_nanos() as u64 / 2);
@@ -61,82 +60,91 @@
     config
 }
 
-fn request(id: &str, deadline: Duration) -> String {
+fn get_with_budget(id: &str, deadline: Duration) -> String {
     get(id, "").replace("X-Budget-Ms: 3000", &format!("X-Budget-Ms: {}", deadline.as_millis()))
 }
 
-/// A client that sends the next request as soon as the last is answered, until its connection ends; then on
-/// a new one while connections are still taken.
-fn client(name: String, at: SocketAddr, deadline: Duration, coming: Arc<AtomicBool>, seen: Arc<Seen>) {
-    let mut turn = 0;
-    while let Some(mut connection) = Client::try_to(at) {
+/// Sends requests one after another on a connection until it is closed, then on a new one for as long as new connections
+/// are made.
+fn run_client(
+    name: String,
+    address: SocketAddr,
+    deadline: Duration,
+    connecting: Arc<AtomicBool>,
+    results: Arc<ClientResults>,
+) {
+    let mut sequence = 0;
+    while let Some(mut connection) = Client::try_connect(address) {
         let mut first = true;
         loop {
-            let id = format!("{name}-{turn}");
-            turn += 1;
-            connection.write_if_open(&request(&id, deadline));
-            let Some(answer) = connection.read() else {
-                if first && coming.load(Ordering::SeqCst) {
-                    seen.lost_first.lock().unwrap().push(id.clone());
+            let id = format!("{name}-{sequence}");
+            sequence += 1;
+            connection.try_write(&get_with_budget(&id, deadline));
+            let Some(response) = connection.read_response() else {
+                if first && connecting.load(Ordering::SeqCst) {
+                    results.lost_first_requests.lock().unwrap().push(id.clone());
                 }
-                seen.unanswered.lock().unwrap().push(id);
+                results.unanswered.lock().unwrap().push(id);
                 break;
             };
             first = false;
-            seen.answered.fetch_add(1, Ordering::SeqCst);
-            if answer.value("connection") == Some("close") {
+            results.answered.fetch_add(1, Ordering::SeqCst);
+            if response.header("connection") == Some("close") {
                 break;
             }
         }
-        if !coming.load(Ordering::SeqCst) {
+        if !connecting.load(Ordering::SeqCst) {
             return;
         }
     }
 }
 
-/// Plays one seed; the text says what was lost.
-fn play(seed: u64) -> Result<u32, String> {
-    let mut drawn = Drawn(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15));
-    let deadline = Duration::from_millis([300, 700, 1500, 3000][drawn.below(4) as usize]);
-    let (takes, hanging) = (drawn.below(60) + 2, drawn.below(3));
+/// Runs one seed and returns the number of responses, or a description of the requests lost.
+fn run_seed(seed: u64) -> Result<u32, String> {
+    let mut random = Random(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+    let deadline = Duration::from_millis([300, 700, 1500, 3000][random.below(4) as usize]);
+    let (service_ms, hanging) = (random.below(60) + 2, random.below(3));
     let backends: Vec<Backend> = (0..4)
         .map(|number| {
             let hangs = number < hanging;
             Backend::new(move |_| {
                 if hangs {
-                    return Does::Hangs;
+                    return Behavior::Hang;
                 }
-                thread::sleep(Duration::from_millis(takes));
-                Does::Writes(ok("yes"))
+                thread::sleep(Duration::from_millis(service_ms));
+                Behavior::Respond(ok("yes"))
             })
         })
         .collect();
     let discovery = Discovery::new(json!([]));
     let config = config_with(&discovery, &backends, deadline);
     let mut node = Node::start(&config);
-    let (at, seen) = (node.at, Arc::new(Seen::default()));
-    let coming = Arc::new(AtomicBool::new(true));
-    let crowd = if drawn.below(3) == 0 { 300 } else { 0 };
-    let idle: Vec<TcpStream> = (0..crowd).filter_map(|_| TcpStream::connect(at).ok()).collect();
-    let clients: Vec<JoinHandle<()>> = (0..8 + drawn.below(24))
+    let (address, results) = (node.address, Arc::new(ClientResults::default()));
+    let connecting = Arc::new(AtomicBool::new(true));
+    let idle_count = if random.below(3) == 0 { 300 } else { 0 };
+    let idle: Vec<TcpStream> = (0..idle_count).filter_map(|_| TcpStream::connect(address).ok()).collect();
+    let clients: Vec<JoinHandle<()>> = (0..8 + random.below(24))
         .map(|number| {
-            let (coming, seen) = (coming.clone(), seen.clone());
-            thread::spawn(move || client(format!("q{seed}-{number}"), at, deadline, coming, seen))
+            let (connecting, results) = (connecting.clone(), results.clone());
+            thread::spawn(move || {
+                run_client(format!("q{seed}-{number}"), address, deadline, connecting, results)
+            })
         })
         .collect();
-    for _ in 0..drawn.below(6) {
-        thread::sleep(Duration::from_millis(drawn.below(120)));
+    for _ in 0..random.below(6) {
+        thread::sleep(Duration::from_millis(random.below(120)));
         node.reconfigure(&config.to_string());
     }
-    thread::sleep(Duration::from_millis(300 + drawn.below(500)));
+    thread::sleep(Duration::from_millis(300 + random.below(500)));
     node.signal("-TERM");
-    let told = Instant::now();
-    for _ in 0..drawn.below(4) {
+    let terminated_at = Instant::now();
+    for _ in 0..random.below(4) {
         node.reconfigure(&config.to_string());
     }
-    thread::sleep(STILL_COMING.saturating_sub(told.elapsed()));
-    coming.store(false, Ordering::SeqCst);
-    let until_kill = (deadline.min(Duration::from_secs(3)) + STAYS).saturating_sub(told.elapsed());
+    thread::sleep(CONNECT_PERIOD.saturating_sub(terminated_at.elapsed()));
+    connecting.store(false, Ordering::SeqCst);
+    let until_kill =
+        (deadline.min(Duration::from_secs(3)) + KILL_MARGIN).saturating_sub(terminated_at.elapsed());
     thread::sleep(until_kill);
     let _ = node.child.kill();
     let _ = node.child.wait();
@@ -144,45 +152,45 @@
         client.join().map_err(|_| format!("seed {seed}: a client failed"))?;
     }
     drop(idle);
-    let reached: HashSet<String> = backends
+    let received: HashSet<String> = backends
         .iter()
         .flat_map(|backend| {
-            backend.got.try_iter().filter_map(|got| got.value("x-call-id").map(str::to_owned))
+            backend.requests.try_iter().filter_map(|request| request.header("x-call-id").map(str::to_owned))
         })
         .collect();
-    let unanswered = seen.unanswered.lock().unwrap();
-    let lost: Vec<&String> = unanswered.iter().filter(|id| reached.contains(*id)).collect();
-    let first = seen.lost_first.lock().unwrap();
-    let answered = seen.answered.load(Ordering::SeqCst);
+    let unanswered = results.unanswered.lock().unwrap();
+    let lost: Vec<&String> = unanswered.iter().filter(|id| received.contains(*id)).collect();
+    let first = results.lost_first_requests.lock().unwrap();
+    let answered = results.answered.load(Ordering::SeqCst);
     if lost.is_empty() && first.is_empty() && answered > 0 {
         return Ok(answered);
     }
-    let seen = format!("{answered} answered, {crowd} idle, {hanging} hang, deadline {deadline:?}");
+    let summary = format!("{answered} answered, {idle_count} idle, {hanging} hang, deadline {deadline:?}");
     Err(format!(
-        "seed {seed}: reached a server and unanswered {lost:?}; first on a connection {first:?}; {seen}"
+        "seed {seed}: unanswered requests that reached a backend {lost:?}; lost first requests {first:?}; {summary}"
     ))
 }
 
 #[test]
-fn whatever_is_taken_is_answered_before_the_earliest_kill() {
+fn every_accepted_request_is_answered_before_the_earliest_kill() {
     let seeds = std::env::var("SOAK_SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(SEEDS);
     let next = Arc::new(Mutex::new(0..seeds));
-    let players: Vec<JoinHandle<Vec<Result<u32, String>>>> = (0..AT_A_TIME)
+    let workers: Vec<JoinHandle<Vec<Result<u32, String>>>> = (0..PARALLEL_RUNS)
         .map(|_| {
             let next = next.clone();
             thread::spawn(move || {
-                let mut played = Vec::new();
+                let mut runs = Vec::new();
                 loop {
-                    let Some(seed) = next.lock().unwrap().next() else { return played };
-                    played.push(play(seed));
+                    let Some(seed) = next.lock().unwrap().next() else { return runs };
+                    runs.push(run_seed(seed));
                 }
             })
         })
         .collect();
-    let played: Vec<Result<u32, String>> =
-        players.into_iter().flat_map(|player| player.join().expect("played")).collect();
-    let failed: Vec<&String> = played.iter().filter_map(|run| run.as_ref().err()).collect();
-    let answered: u32 = played.iter().flatten().sum();
-    println!("{} seeds played, {} failed, {answered} requests answered", played.len(), failed.len());
+    let runs: Vec<Result<u32, String>> =
+        workers.into_iter().flat_map(|worker| worker.join().expect("the worker finishes")).collect();
+    let failed: Vec<&String> = runs.iter().filter_map(|run| run.as_ref().err()).collect();
+    let answered: u32 = runs.iter().flatten().sum();
+    println!("{} seeds run, {} failed, {answered} requests answered", runs.len(), failed.len());
     assert!(failed.is_empty(), "{failed:#?}");
 }
