--- a/node/src/server/connection.rs
+++ b/node/src/server/connection.rs
@@ -24,7 +24,7 @@
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2200);
 /// Time for the first request on a connection while slots are scarce, and on one opened during a shutdown.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(250);
-/// Time for a client to read a response; longer than any client waits.
+/// Time for a client to read a response. Longer than any client waits for one.
 const RESPONSE_WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Time for a request to be received in full: the first one of a connection counted from the accept, the head of a later
 /// one from its first byte and the body from the end of the head. A peer gets an error or a close within 3 s.
@@ -47,7 +47,7 @@
 /// Why a connection is to be closed.
 #[derive(Debug)]
 enum CloseReason {
-    /// The parser has finished: after its last response, or as the peer had closed the connection.
+    /// The parser has finished: after the last response, or because the peer closed the connection.
     ParserDone,
     /// The peer closed the connection while a request was being handled.
     PeerClosed,
--- a/node/src/server/handler.rs
+++ b/node/src/server/handler.rs
@@ -60,7 +60,7 @@
     }
 }
 
-/// Answers any request, by its path.
+/// Routes a request by its path.
 pub async fn handle(
     node: &Node,
     request: Request<Incoming>,
@@ -115,6 +115,7 @@
     .to_string()
 }
 
+/// Validates an API request, submits it to the driver and waits for the outcome.
 async fn forward(
     node: &Node,
     request: Request<Incoming>,
--- a/node/src/server/mod.rs
+++ b/node/src/server/mod.rs
@@ -43,9 +43,9 @@
 struct ConnectionGuard(Rc<OpenConnections>);
 
 impl ConnectionGuard {
-    fn new(open: &Rc<OpenConnections>) -> Self {
-        open.count.set(open.count.get() + 1);
-        Self(open.clone())
+    fn new(connections: &Rc<OpenConnections>) -> Self {
+        connections.count.set(connections.count.get() + 1);
+        Self(connections.clone())
     }
 }
 
@@ -65,7 +65,7 @@
     phase: watch::Receiver<ShutdownPhase>,
 ) {
     let slots = Arc::new(Semaphore::new(max_connections));
-    let open = Rc::new(OpenConnections::default());
+    let connections = Rc::new(OpenConnections::default());
     let scarce_threshold = max_connections / SCARCE_SLOT_DIVISOR;
     let accept_loop = async {
         loop {
@@ -77,7 +77,7 @@
                     spawn_connection(
                         stream,
                         &node,
-                        (slot, ConnectionGuard::new(&open)),
+                        (slot, ConnectionGuard::new(&connections)),
                         &phase,
                         slots_scarce,
                     );
@@ -100,10 +100,10 @@
         loop {
             // A client that connected as the last connection closed is in the backlog by then.
             sleep(LATE_CONNECTION_GRACE).await;
-            if open.count.get() == 0 {
+            if connections.count.get() == 0 {
                 return;
             }
-            open.closed.notified().await;
+            connections.closed.notified().await;
         }
     };
     // Polls the accept loop first, so that the backlog is drained before the listener is closed.
--- a/node/src/server/tests.rs
+++ b/node/src/server/tests.rs
@@ -29,7 +29,7 @@
     let (node, _) = driver::tests::node(0);
     let client = async move {
         for text in texts {
-            // Reads to the end even if the node has closed the connection.
+            // A failed write is ignored: the node may have closed, and its response is still read.
             let _ = peer.write_all(text.as_bytes()).await;
             sleep(interval).await;
         }
