--- a/cli/src/check.rs
+++ b/cli/src/check.rs
@@ -105,7 +105,7 @@
     if config["limits"]["sockets"].as_u64().is_none_or(|sockets| sockets < 32) {
         return Err(problem("limits.sockets: 32 or more is wanted".to_owned()));
     }
-    let site = brookfield_settings::read(&config["settings"]).map_err(problem)?;
+    let site = brookfield_settings::parse(&config["settings"]).map_err(problem)?;
     site.settings.validate().map_err(|error| problem(error.to_string()))?;
     Ok(format!(
         "{}: a node's configuration: {} classes, {} zones, {} nodes",
--- a/node/src/driver/backends.rs
+++ b/node/src/driver/backends.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use brookfield::{BackendId, ListScope, Member, Nanos, Stage};
-use brookfield_settings::Words;
+use brookfield_settings::NameTable;
 
 use super::exchange::Listed;
 
@@ -56,7 +56,13 @@
 
 impl Backends {
     /// Takes a list in. [`Backends::drop_left`] ends what this begins.
-    pub fn take(&mut self, scope: ListScope, list: Vec<Listed>, now: Nanos, words: &mut Words) -> Changed {
+    pub fn take(
+        &mut self,
+        scope: ListScope,
+        list: Vec<Listed>,
+        now: Nanos,
+        words: &mut NameTable,
+    ) -> Changed {
         self.left.retain(|_, left| now.saturating_sub(left.at) < KEPT_NUMBER);
         let mut left: Vec<String> = Vec::new();
         if scope != ListScope::Changes {
@@ -110,7 +116,7 @@
         &mut self,
         listed: Listed,
         now: Nanos,
-        words: &mut Words,
+        words: &mut NameTable,
         retired: &mut Vec<BackendId>,
     ) -> Option<Member> {
         let gone = listed.stage == Stage::Gone;
--- a/node/src/driver/mod.rs
+++ b/node/src/driver/mod.rs
@@ -22,7 +22,7 @@
     ListScope, LogEvent, Nanos, Outcome, RequestId, Settings, SettingsError, SlowStartDecision, ZoneId,
     ZoneOverride,
 };
-use brookfield_settings::Words;
+use brookfield_settings::NameTable;
 pub use flaxdale_fleet::clock::Clock;
 use flaxdale_fleet::file::Fleet;
 use tokio::sync::{Notify, oneshot};
@@ -58,7 +58,7 @@
     clock: Clock,
     balancer: Balancer,
     settings: Settings,
-    words: Words,
+    words: NameTable,
     requests: Requests,
     backends: Backends,
     timers: Timers,
@@ -93,7 +93,7 @@
     /// A node with no backends yet.
     pub fn new(
         settings: Settings,
-        words: Words,
+        words: NameTable,
         seed: u64,
         clock: Clock,
         launcher: Rc<dyn Launcher>,
--- a/node/src/driver/tests.rs
+++ b/node/src/driver/tests.rs
@@ -43,8 +43,8 @@
         "policy-limits": {"attempts-cap": 3}, "goal": {},
         "rules": {"answer-slack-ns": 20_000_000, "drain-grace-ns": drain_grace, "fall-ns": 1_500_000_000u64,
             "start-capacity": 0.1, "tip-multiple": 2.5, "warm-after-ns": 20_000_000_000u64}});
-    let site = brookfield_settings::read(&config).expect("settings");
-    Node::new(site.settings, site.words, 7, Clock::start(), launcher).expect("a node")
+    let site = brookfield_settings::parse(&config).expect("settings");
+    Node::new(site.settings, site.names, 7, Clock::start(), launcher).expect("a node")
 }
 
 /// Something that happens in the very moment in which an attempt is launched, before anything else can.
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -124,13 +124,13 @@
 async fn serve(config: Config, log: Arc<log::Bound>) -> Result<(), StartError> {
     spawn_local(log.report());
     parent_process::exit_with_parent();
-    let site = brookfield_settings::read(&config.settings).map_err(StartError::Settings)?;
+    let site = brookfield_settings::parse(&config.settings).map_err(StartError::Settings)?;
     let seed = u64::from_str_radix(&config.seed, 16).map_err(|_| StartError::Seed(config.seed.clone()))?;
     let (clients, backends) = shares(config.limits.sockets)?;
     let clock = Clock::start();
-    let upstream = Upstream::new(site.links, clock, backends);
+    let upstream = Upstream::new(site.connections, clock, backends);
     spawn_local(Upstream::sweep(upstream.pool()));
-    let node = Node::new(site.settings, site.words, seed, clock, Rc::new(upstream))
+    let node = Node::new(site.settings, site.names, seed, clock, Rc::new(upstream))
         .map_err(|error| StartError::Settings(error.to_string()))?;
     let (discovery, addresses) = watch::channel(config.discovery);
     let fleet = read_fleet()?;
--- a/node/src/server/tests.rs
+++ b/node/src/server/tests.rs
@@ -307,7 +307,8 @@
     use std::io::{Read, Write};
     let backend = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let endpoint = backend.local_addr().expect("its address");
-    let links = brookfield_settings::Links { idle: 60 * SECOND, connect_timeout: SECOND };
+    let links =
+        brookfield_settings::ConnectionSettings { idle_timeout: 60 * SECOND, connect_timeout: SECOND };
     let upstream = crate::upstream::Upstream::new(links, driver::Clock::start(), 8);
     let launcher = Rc::new(driver::tests::Crossed { upstream, crossing: Default::default() });
     let node = driver::tests::node_over(SECOND, "pushed", launcher.clone());
--- a/node/src/upstream.rs
+++ b/node/src/upstream.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use brookfield::{BackendId, LoadReport, Nanos, Outcome};
-use brookfield_settings::Links;
+use brookfield_settings::ConnectionSettings;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Body, Incoming};
@@ -95,7 +95,7 @@
     /// Open connections, idle or not.
     open: Rc<Cell<usize>>,
     most: usize,
-    links: Links,
+    links: ConnectionSettings,
     clock: Clock,
 }
 
@@ -120,7 +120,7 @@
 
 impl Upstream {
     /// At most `most` connections are open together.
-    pub fn new(links: Links, clock: Clock, most: usize) -> Self {
+    pub fn new(links: ConnectionSettings, clock: Clock, most: usize) -> Self {
         let (idle, open) = (RefCell::default(), Rc::default());
         Self(Rc::new(Pool { idle, open, most, links, clock }))
     }
@@ -314,7 +314,7 @@
     /// Whether an idle connection may still be used.
     fn is_good(&self, idle: &Idle) -> bool {
         let age = self.clock.now().saturating_sub(idle.since);
-        !idle.link.is_closed() && age < self.links.idle / IDLE_PART
+        !idle.link.is_closed() && age < self.links.idle_timeout / IDLE_PART
     }
 
     /// Back to the pool, unless its backend has left or moved since: nobody would take it from there.
--- a/node/src/upstream/tests.rs
+++ b/node/src/upstream/tests.rs
@@ -15,7 +15,7 @@
     node.fleet(ListScope::Full, vec![listed("s", Stage::InService)]);
     let _waiting = node.submit(asked(60 * SECOND));
     let launch = kept.launches.borrow_mut().pop().expect("an attempt");
-    let links = Links { idle: SECOND, connect_timeout: SECOND };
+    let links = ConnectionSettings { idle_timeout: SECOND, connect_timeout: SECOND };
     let upstream = Upstream::new(links, Clock::start(), 0);
     let ending = upstream.pool().attempt(&node, &launch, &Cell::default(), &Cell::default()).await;
     assert_eq!(ending.outcome, Outcome::Moot);
@@ -40,7 +40,7 @@
     let endpoint = listener.local_addr().expect("its address");
     let (node, mut launch, _held) = launched(endpoint);
     launch.give_up = node.clock().now() + SECOND / 4;
-    let links = Links { idle: SECOND, connect_timeout: SECOND };
+    let links = ConnectionSettings { idle_timeout: SECOND, connect_timeout: SECOND };
     let upstream = Upstream::new(links, node.clock(), 8);
     let ending = upstream.pool().end_of(&node, launch).await;
     assert_eq!(ending.outcome, Outcome::ConnectFailed);
@@ -83,7 +83,7 @@
     let endpoint = listener.local_addr().expect("its address");
     let (node, mut launch, _held) = launched(endpoint);
     launch.send_by = node.clock().now() + SECOND / 4;
-    let links = Links { idle: SECOND, connect_timeout: 20 * SECOND };
+    let links = ConnectionSettings { idle_timeout: SECOND, connect_timeout: 20 * SECOND };
     let upstream = Upstream::new(links, node.clock(), 8);
     let pool = upstream.pool();
     let work = async {
@@ -144,7 +144,7 @@
 /// crossing happens to that connection as the second is launched.
 async fn second_answer(crossing: impl FnOnce(std::net::TcpStream) + 'static) -> Reply {
     let (endpoint, connections) = answering("right");
-    let links = Links { idle: 60 * SECOND, connect_timeout: SECOND };
+    let links = ConnectionSettings { idle_timeout: 60 * SECOND, connect_timeout: SECOND };
     let upstream = Upstream::new(links, Clock::start(), 8);
     let crossed = Rc::new(Crossed { upstream, crossing: RefCell::default() });
     let node = node_over(SECOND, "pushed", crossed.clone());
@@ -184,7 +184,7 @@
 async fn a_second_answer_that_comes_late_is_no_answer_to_the_next_request() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let endpoint = listener.local_addr().expect("its address");
-    let links = Links { idle: 60 * SECOND, connect_timeout: SECOND };
+    let links = ConnectionSettings { idle_timeout: 60 * SECOND, connect_timeout: SECOND };
     let upstream = Upstream::new(links, Clock::start(), 8);
     let crossed = Rc::new(Crossed { upstream, crossing: RefCell::default() });
     let node = node_over(SECOND, "pushed", crossed);
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -16,17 +16,17 @@
 pub use fields::Fields;
 
 /// The numbers that an instance gives the names of its settings.
-pub struct Words {
+pub struct NameTable {
     zones: Vec<String>,
     classes: HashMap<String, u32>,
     kinds: Vec<String>,
     tenants: Vec<String>,
 }
 
-impl Words {
+impl NameTable {
     /// A zone's number; a name that the settings do not list gets a number past their zones.
     pub fn zone(&mut self, name: &str) -> ZoneId {
-        ZoneId(position(&mut self.zones, name))
+        ZoneId(index_or_insert(&mut self.zones, name))
     }
 
     /// A zone's name, for people.
@@ -36,13 +36,13 @@
 
     /// A machine kind's number; a new name gets a new one.
     pub fn kind(&mut self, name: &str) -> u32 {
-        position(&mut self.kinds, name)
+        index_or_insert(&mut self.kinds, name)
     }
 
     /// A tenant's number, or none where the request has none or one that the settings do not list.
     pub fn tenant(&self, name: Option<&str>) -> Option<u32> {
-        let at = name.and_then(|name| self.tenants.iter().position(|known| known == name));
-        at.map(|at| at as u32)
+        let index = name.and_then(|name| self.tenants.iter().position(|known| known == name));
+        index.map(|index| index as u32)
     }
 
     /// A class's number, or none where the settings do not list it.
@@ -51,118 +51,118 @@
     }
 }
 
-fn position(names: &mut Vec<String>, name: &str) -> u32 {
-    let at = names.iter().position(|known| known == name).unwrap_or_else(|| {
+fn index_or_insert(names: &mut Vec<String>, name: &str) -> u32 {
+    let index = names.iter().position(|known| known == name).unwrap_or_else(|| {
         names.push(name.to_owned());
         names.len() - 1
     });
-    at as u32
+    index as u32
 }
 
-fn names(fields: &Fields, field: &str) -> Result<Vec<String>, String> {
-    let name = |value: &Value| value.as_str().map(str::to_owned).ok_or_else(|| fields.wrong(field));
-    fields.array(field)?.iter().map(name).collect()
+fn string_list(fields: &Fields, field: &str) -> Result<Vec<String>, String> {
+    let string = |value: &Value| value.as_str().map(str::to_owned).ok_or_else(|| fields.invalid(field));
+    fields.array(field)?.iter().map(string).collect()
 }
 
-fn class(value: &Value) -> Result<(String, ClassSettings), String> {
+fn parse_class(value: &Value) -> Result<(String, ClassSettings), String> {
     let map = value.as_object().ok_or("settings: classes: not objects")?;
     let fields = Fields { tag: "settings: classes", map };
-    let effect = match fields.text("effect")? {
+    let effect = match fields.string("effect")? {
         "repeatable" => Idempotency::Idempotent,
         "once" => Idempotency::NonIdempotent,
         "by_key" => {
-            let group = match fields.text("key-scope")? {
+            let group = match fields.string("key-scope")? {
                 "all" => DedupGroup::All,
                 "zone" => DedupGroup::Zone,
                 "cell" => DedupGroup::Cell,
-                _ => return Err(fields.wrong("key-scope")),
+                _ => return Err(fields.invalid("key-scope")),
             };
-            Idempotency::Keyed { group, window: fields.whole("window-ns")? }
+            Idempotency::Keyed { group, window: fields.unsigned("window-ns")? }
         }
-        _ => return Err(fields.wrong("effect")),
+        _ => return Err(fields.invalid("effect")),
     };
     let settings = ClassSettings {
-        latency_target: fields.whole("on-time-ns")?,
-        deadline: fields.whole("deadline-ns")?,
+        latency_target: fields.unsigned("on-time-ns")?,
+        deadline: fields.unsigned("deadline-ns")?,
         value: fields.number_or("importance", 1.0)?,
         late_value_share: fields.number_or("late-share", 0.0)?,
         idempotency: effect,
     };
-    Ok((fields.text("name")?.to_owned(), settings))
+    Ok((fields.string("name")?.to_owned(), settings))
 }
 
 /// What the settings say of connections, which only a node on real sockets needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Links {
+pub struct ConnectionSettings {
     /// A backend closes a connection that has stood idle for this long, or sooner.
-    pub idle: Nanos,
+    pub idle_timeout: Nanos,
     /// A connection that is not up by then counts as failed.
     pub connect_timeout: Nanos,
 }
 
 /// All that is read from the settings.
-pub struct Site {
+pub struct ParsedSettings {
     /// What the module is told.
     pub settings: Settings,
     /// The words for its numbers.
-    pub words: Words,
+    pub names: NameTable,
     /// What goes for connections.
-    pub links: Links,
+    pub connections: ConnectionSettings,
 }
 
 /// Reads the settings; the error names the field.
-pub fn read(config: &Value) -> Result<Site, String> {
-    let map = config.as_object().ok_or("settings: not an object")?;
+pub fn parse(value: &Value) -> Result<ParsedSettings, String> {
+    let map = value.as_object().ok_or("settings: not an object")?;
     let fields = Fields { tag: "settings", map };
-    let zones = names(&fields, "zones")?;
-    let home = fields.text("az")?;
-    let home = zones.iter().position(|zone| zone == home).ok_or_else(|| fields.wrong("az"))?;
-    let classes = fields.array("classes")?.iter().map(class).collect::<Result<Vec<_>, _>>()?;
+    let zones = string_list(&fields, "zones")?;
+    let home_zone = fields.string("az")?;
+    let home_zone = zones.iter().position(|zone| zone == home_zone).ok_or_else(|| fields.invalid("az"))?;
+    let classes = fields.array("classes")?.iter().map(parse_class).collect::<Result<Vec<_>, _>>()?;
     let (class_names, classes): (Vec<_>, Vec<_>) = classes.into_iter().unzip();
-    let listed = if map.contains_key("projects") { fields.array("projects")?.as_slice() } else { &[] };
+    let projects = if map.contains_key("projects") { fields.array("projects")?.as_slice() } else { &[] };
     let tenant = |value: &Value| {
         let map = value.as_object().ok_or("settings: projects: not objects")?;
         let fields = Fields { tag: "settings: projects", map };
-        Ok::<_, String>((fields.text("name")?.to_owned(), fields.number("quota-rps")?))
+        Ok::<_, String>((fields.string("name")?.to_owned(), fields.number("quota-rps")?))
     };
     let (tenant_names, tenants): (Vec<_>, Vec<_>) =
-        listed.iter().map(tenant).collect::<Result<Vec<_>, _>>()?.into_iter().unzip();
+        projects.iter().map(tenant).collect::<Result<Vec<_>, _>>()?.into_iter().unzip();
     let limits = fields.object("policy-limits")?;
     let rules = fields.object("rules")?;
     let goal = fields.object("goal")?;
     let flag = |name: &str| limits.map.get(name).and_then(Value::as_bool).unwrap_or(false);
     let settings = Settings {
-        home_zone: ZoneId(home as u32),
+        home_zone: ZoneId(home_zone as u32),
         zone_count: zones.len() as u32,
-        node_count: u32::try_from(fields.whole_or("n-instances", 1)?).unwrap_or(u32::MAX),
+        node_count: u32::try_from(fields.unsigned_or("n-instances", 1)?).unwrap_or(u32::MAX),
         classes,
         tenant_quotas: tenants,
         over_quota_value: fields.number_or("over-share-worth", 1.0)?,
-        discovery: match fields.text("discovery")? {
+        discovery: match fields.string("discovery")? {
             "pushed" => DiscoveryMode::Push,
             "on_request" => DiscoveryMode::OnRequest,
-            _ => return Err(fields.wrong("discovery")),
+            _ => return Err(fields.invalid("discovery")),
         },
         weight_kind: match map.get("weights").and_then(Value::as_str) {
             Some("live") => WeightKind::Live,
             _ => WeightKind::Static,
         },
         limits: Limits {
-            max_attempts: u32::try_from(limits.whole("attempts-cap")?).unwrap_or(u32::MAX),
+            max_attempts: u32::try_from(limits.unsigned("attempts-cap")?).unwrap_or(u32::MAX),
             concurrent_attempts: flag("second-copies"),
             probes: flag("probes"),
             cancel: flag("may-cancel"),
             // Advice is given even where the site says that no client heeds it: it costs nothing, and some do.
-            max_retry_after: limits.whole_or("max-retry-after-ns", 0)?,
+            max_retry_after: limits.unsigned_or("max-retry-after-ns", 0)?,
         },
         rules: RuleParameters {
-            answer_slack: rules.whole("answer-slack-ns")?,
-            max_poll_interval: rules.whole_or("ask-within-ns", u64::MAX)?,
-            drain_grace: rules.whole("drain-grace-ns")?,
+            answer_slack: rules.unsigned("answer-slack-ns")?,
+            max_poll_interval: rules.unsigned_or("ask-within-ns", u64::MAX)?,
+            drain_grace: rules.unsigned("drain-grace-ns")?,
             initial_capacity: rules.number("start-capacity")?,
-            slow_start_window: rules.whole("warm-after-ns")?,
+            slow_start_window: rules.unsigned("warm-after-ns")?,
             overload_factor: rules.number("tip-multiple")?,
-            overload_window: rules.whole("fall-ns")?,
+            overload_window: rules.unsigned("fall-ns")?,
         },
         worst_class_weight: goal.number_or("worst-class", 0.0)?,
         retries_marked: map
@@ -171,13 +171,17 @@
             .and_then(Value::as_bool)
             .unwrap_or(false),
         value_per_work: map.get("worth-by").and_then(Value::as_str) == Some("work"),
-        quantum: fields.whole_or("quantum-ns", 1_000_000)?,
+        quantum: fields.unsigned_or("quantum-ns", 1_000_000)?,
     };
     let classes = class_names.into_iter().zip(0..).collect();
-    let kinds = if map.contains_key("kinds") { names(&fields, "kinds")? } else { Vec::new() };
-    let links = Links {
-        idle: limits.whole_or("conn-idle-ns", 15_000_000_000)?,
-        connect_timeout: limits.whole_or("connect-timeout-ns", 250_000_000)?,
+    let kinds = if map.contains_key("kinds") { string_list(&fields, "kinds")? } else { Vec::new() };
+    let connections = ConnectionSettings {
+        idle_timeout: limits.unsigned_or("conn-idle-ns", 15_000_000_000)?,
+        connect_timeout: limits.unsigned_or("connect-timeout-ns", 250_000_000)?,
     };
-    Ok(Site { settings, words: Words { zones, classes, kinds, tenants: tenant_names }, links })
+    Ok(ParsedSettings {
+        settings,
+        names: NameTable { zones, classes, kinds, tenants: tenant_names },
+        connections,
+    })
 }
--- a/wirehost/src/main.rs
+++ b/wirehost/src/main.rs
@@ -12,7 +12,7 @@
     Action, Arrival, AttemptResult, BackendId, Balancer, ClassId, Event, ListScope, LogEvent, Member, Nanos,
     RequestId,
 };
-use brookfield_settings::{Fields, Words};
+use brookfield_settings::{Fields, NameTable};
 use serde_json::{Value, json};
 use wire::Line;
 
@@ -26,7 +26,7 @@
 /// One instance: the module and the words for its numbers. Nothing in it is shared.
 struct Instance {
     node: Balancer,
-    words: Words,
+    words: NameTable,
     backends: HashMap<String, BackendId>,
     backend_names: Vec<String>,
     requests: HashMap<String, RequestId>,
@@ -147,7 +147,7 @@
         let Fields { tag, .. } = line.fields;
         let fields = &line.fields;
         match tag {
-            "BATCH" => self.now = fields.whole("sim-time-ns")?,
+            "BATCH" => self.now = fields.unsigned("sim-time-ns")?,
             "GO" => return Ok(true),
             "MANIFEST" => {
                 self.manifests.insert(fields.integer("list")?, wire::entries(fields)?);
@@ -171,10 +171,10 @@
 
     fn open(&mut self, fields: &Fields) -> Result<(), String> {
         let who = fields.integer("who")?;
-        let seed = fields.whole("nonce64")?;
-        let made = brookfield_settings::read(fields.get("config")?).and_then(|site| {
+        let seed = fields.unsigned("nonce64")?;
+        let made = brookfield_settings::parse(fields.required("config")?).and_then(|site| {
             let node = Balancer::new(site.settings, seed, self.now).map_err(|e| e.to_string())?;
-            Ok((node, site.words))
+            Ok((node, site.names))
         });
         match made {
             Ok((node, words)) => {
@@ -200,28 +200,29 @@
         let Some(instance) = self.instances.get_mut(&who) else { return Ok(()) };
         let event = match tag {
             "FLEET" => {
-                let scope = match fields.text("mode")? {
+                let scope = match fields.string("mode")? {
                     "delta" => Some(ListScope::Changes),
                     "full" => Some(ListScope::Full),
                     "cached" => Some(ListScope::Cached),
                     "failed" => None,
-                    _ => return Err(fields.wrong("mode")),
+                    _ => return Err(fields.invalid("mode")),
                 };
                 match scope {
                     None => Event::DiscoveryFailed,
                     Some(scope) => {
                         let list = fields.integer("list")?;
-                        let entries = self.manifests.get(&list).ok_or_else(|| fields.wrong("list"))?;
+                        let entries = self.manifests.get(&list).ok_or_else(|| fields.invalid("list"))?;
                         Event::BackendList { scope, members: instance.members(entries) }
                     }
                 }
             }
             "INCOMING" => {
-                let class = instance.words.class(fields.text("band")?).ok_or_else(|| fields.wrong("band"))?;
-                let options = fields.whole_or("options", 0)?;
-                let hint = fields.whole_or("weight-hint-ns", 0)?;
-                let not_after = fields.whole("not-after-ns")?;
-                let name = fields.text("request-id")?;
+                let class =
+                    instance.words.class(fields.string("band")?).ok_or_else(|| fields.invalid("band"))?;
+                let options = fields.unsigned_or("options", 0)?;
+                let hint = fields.unsigned_or("weight-hint-ns", 0)?;
+                let not_after = fields.unsigned("not-after-ns")?;
+                let name = fields.string("request-id")?;
                 Event::Request(Arrival {
                     request: instance.request(name),
                     class: ClassId(class),
@@ -232,10 +233,11 @@
                 })
             }
             "SETTLED" => {
-                let ended = fields.flag("no-more")?;
-                let settlement = (wire::outcome(fields)?, fields.whole("elapsed-ns")?, wire::report(fields)?);
-                let attempt = fields.whole("try")? as u32;
-                let Some(&request) = instance.requests.get(fields.text("request-id")?) else {
+                let ended = fields.boolean("no-more")?;
+                let settlement =
+                    (wire::outcome(fields)?, fields.unsigned("elapsed-ns")?, wire::report(fields)?);
+                let attempt = fields.unsigned("try")? as u32;
+                let Some(&request) = instance.requests.get(fields.string("request-id")?) else {
                     return Ok(());
                 };
                 let (outcome, elapsed, report) = settlement;
@@ -258,7 +260,7 @@
                 return Ok(());
             }
             "ACK_FIRST" | "LEFT" => {
-                let Some(&request) = instance.requests.get(fields.text("request-id")?) else {
+                let Some(&request) = instance.requests.get(fields.string("request-id")?) else {
                     return Ok(());
                 };
                 if tag == "ACK_FIRST" {
@@ -272,8 +274,8 @@
                 }
             }
             "STATUS_BACK" => {
-                let backend = instance.backend(fields.text("backend")?);
-                let elapsed = fields.whole("elapsed-ns")?;
+                let backend = instance.backend(fields.string("backend")?);
+                let elapsed = fields.unsigned("elapsed-ns")?;
                 Event::ProbeEnded {
                     backend,
                     outcome: wire::outcome(fields)?,
@@ -281,7 +283,7 @@
                     report: wire::report(fields)?,
                 }
             }
-            _ => Event::Timer { token: fields.whole("name")? },
+            _ => Event::Timer { token: fields.unsigned("name")? },
         };
         self.handle(who, event);
         Ok(())
--- a/wirehost/src/wire.rs
+++ b/wirehost/src/wire.rs
@@ -22,7 +22,7 @@
 
 /// The outcome that a message tells.
 pub fn outcome(fields: &Fields) -> Result<Outcome, String> {
-    Ok(match fields.text("disposition")? {
+    Ok(match fields.string("disposition")? {
         "S" => Outcome::Served,
         "E" => Outcome::Error,
         "F" => Outcome::Full,
@@ -31,7 +31,7 @@
         "R" => Outcome::Reset,
         "X" => Outcome::Cancelled,
         "N" => Outcome::Moot,
-        _ => return Err(fields.wrong("disposition")),
+        _ => return Err(fields.invalid("disposition")),
     })
 }
 
@@ -40,7 +40,7 @@
     let Some(usage) = fields.map.get("usage").filter(|usage| !usage.is_null()) else {
         return Ok(LoadReport::default());
     };
-    let usage = usage.as_object().ok_or_else(|| fields.wrong("usage"))?;
+    let usage = usage.as_object().ok_or_else(|| fields.invalid("usage"))?;
     let figure = |name: &str| usage.get(name).and_then(Value::as_f64);
     Ok(LoadReport { util: figure("load_share"), rate: figure("tps"), in_flight: figure("concurrent") })
 }
@@ -60,21 +60,21 @@
     let list = fields.array("members-list")?;
     list.iter()
         .map(|value| {
-            let map = value.as_object().ok_or_else(|| fields.wrong("members-list"))?;
+            let map = value.as_object().ok_or_else(|| fields.invalid("members-list"))?;
             let entry = Fields { tag: "MANIFEST", map };
             Ok(Entry {
-                backend: entry.text("backend")?.to_owned(),
-                zone: entry.text("hall")?.to_owned(),
-                kind: entry.text("type")?.to_owned(),
-                cell: entry.whole_or("pod", 0)?,
-                stage: match entry.text("stage-state")? {
+                backend: entry.string("backend")?.to_owned(),
+                zone: entry.string("hall")?.to_owned(),
+                kind: entry.string("type")?.to_owned(),
+                cell: entry.unsigned_or("pod", 0)?,
+                stage: match entry.string("stage-state")? {
                     "in_service" => Stage::InService,
                     "terminating" => Stage::Draining,
                     "terminated" => Stage::Gone,
-                    _ => return Err(entry.wrong("stage-state")),
+                    _ => return Err(entry.invalid("stage-state")),
                 },
                 size: entry.number_or("power-hint", 1.0)?,
-                online_since: Some(entry.whole_or("online-since-ns", 0)?).filter(|&at| at > 0),
+                online_since: Some(entry.unsigned_or("online-since-ns", 0)?).filter(|&at| at > 0),
             })
         })
         .collect()
