--- a/model/src/clients.rs
+++ b/model/src/clients.rs
@@ -5,7 +5,7 @@
 use rand_chacha::ChaCha12Rng;
 use rand_distr::{Distribution, Exp1, LogNormal};
 
-use crate::plan::{Again, Effect};
+use crate::plan::{Idempotency, RetryPolicy};
 use crate::world::{SECOND, World, stream};
 
 /// Times that a client's wait doubles at most.
@@ -163,14 +163,14 @@
     let safe = match seen {
         Seen::Served => return None,
         Seen::Refused(_) | Seen::Unreachable => true,
-        Seen::Failed => class.effect == Effect::Repeatable,
+        Seen::Failed => class.effect == Idempotency::Idempotent,
     };
-    if !safe || tries >= load.retries || load.again == Again::Never {
+    if !safe || tries >= load.retries || load.again == RetryPolicy::Never {
         return None;
     }
     let wait = match load.again {
-        Again::Never | Again::AtOnce => 0,
-        Again::Later => {
+        RetryPolicy::Never | RetryPolicy::Immediate => 0,
+        RetryPolicy::Backoff => {
             let doubled = load.backoff << tries.min(MOST_DOUBLINGS);
             (doubled as f64 * (0.5 + rng.random::<f64>())) as Nanos
         }
--- a/model/src/ledger.rs
+++ b/model/src/ledger.rs
@@ -8,7 +8,7 @@
 use brookfield::Nanos;
 use serde::{Deserialize, Serialize};
 
-use crate::plan::Effect;
+use crate::plan::Idempotency;
 
 /// Broken ones that are kept with their details, for each rule; the count goes on.
 const MOST_BREACHES: usize = 50;
@@ -90,6 +90,7 @@
     /// When, in milliseconds from the start of the load.
     pub at_ms: f64,
     /// What was seen.
+    #[serde(rename = "what")]
     pub what: String,
 }
 
@@ -101,9 +102,10 @@
     /// Times that it was checked.
     pub checked: u64,
     /// Times that it was broken.
+    #[serde(rename = "broken")]
     pub broken: u64,
     /// The first broken ones.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
+    #[serde(rename = "breaches", default, skip_serializing_if = "Vec::is_empty")]
     pub breaches: Vec<Breach>,
 }
 
@@ -138,7 +140,7 @@
 }
 
 struct Record {
-    effect: Effect,
+    effect: Idempotency,
     window: Nanos,
     not_after: Nanos,
     excused: bool,
@@ -183,7 +185,7 @@
     }
 
     /// A client has sent a request.
-    pub fn asked(&mut self, id: u64, effect: Effect, window: Nanos, not_after: Nanos, now: Nanos) {
+    pub fn asked(&mut self, id: u64, effect: Idempotency, window: Nanos, not_after: Nanos, now: Nanos) {
         let record = Record {
             effect,
             window,
@@ -227,15 +229,15 @@
         let mut checked = Vec::new();
         if let Some(first) = record.attempts.iter().find(|attempt| attempt.may_have_run) {
             match record.effect {
-                Effect::Repeatable => {}
-                Effect::Once => {
+                Idempotency::Idempotent => {}
+                Idempotency::NonIdempotent => {
                     checked.push(Rule::RunsOnce);
                     broken.push((
                         Rule::RunsOnce,
                         format!("server {server} got it after server {} may have run it", first.server),
                     ));
                 }
-                Effect::Keyed => {
+                Idempotency::Keyed => {
                     checked.push(Rule::KeyedInGroup);
                     let age = now.saturating_sub(first.began);
                     if first.cell != cell {
@@ -303,7 +305,9 @@
             broken.push((Rule::OneOutcome, format!("answered {late} ms after its time")));
         }
         let ran = record.attempts.iter().find(|attempt| attempt.may_have_run).map(|attempt| attempt.server);
-        if let (Answer::Refused, Some(server), false) = (answer, ran, record.effect == Effect::Repeatable) {
+        if let (Answer::Refused, Some(server), false) =
+            (answer, ran, record.effect == Idempotency::Idempotent)
+        {
             broken.push((Rule::RunsOnce, format!("refused though server {server} may have run it")));
         }
         record.answered = Some((answer, now));
--- a/model/src/plan.rs
+++ b/model/src/plan.rs
@@ -9,19 +9,19 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
 /// Bounds of what a plan may ask for: what one machine's descriptors and memory bear.
-pub const MOST_NODES: u32 = 2_000;
+pub const MAX_NODES: u32 = 2_000;
 /// See [`MOST_NODES`].
-pub const MOST_SERVERS: u32 = 5_000;
+pub const MAX_SERVERS: u32 = 5_000;
 /// See [`MOST_NODES`].
-pub const MOST_ZONES: usize = 64;
+pub const MAX_ZONES: usize = 64;
 /// Seconds that a run may last at most.
-pub const MOST_SECONDS: f64 = 7_200.0;
+pub const MAX_RUN_SECONDS: f64 = 7_200.0;
 /// Requests a second that a plan may ask for at most.
-pub const MOST_RPS: f64 = 1_000_000.0;
+pub const MAX_RPS: f64 = 1_000_000.0;
 /// Faults in a plan.
-pub const MOST_FAULTS: usize = 1_000;
+pub const MAX_FAULTS: usize = 1_000;
 /// Replicas of a registry.
-pub const MOST_REPLICAS: u32 = 9;
+pub const MAX_REPLICAS: u32 = 9;
 /// The replica that leads when a fault begins, as `who`.
 pub const LEADER: &str = "leader";
 
@@ -36,25 +36,25 @@
 
 impl Range {
     /// A range of one figure.
-    pub const fn only(value: f64) -> Self {
+    pub const fn fixed(value: f64) -> Self {
         Self { from: value, to: value }
     }
 
     /// A range between two figures.
-    pub const fn of(from: f64, to: f64) -> Self {
+    pub const fn new(from: f64, to: f64) -> Self {
         Self { from, to }
     }
 
     /// The figure at a share of the way, 0 to 1.
-    pub fn at(&self, share: f64) -> f64 {
+    pub fn interpolate(&self, share: f64) -> f64 {
         self.from + (self.to - self.from) * share
     }
 
-    fn low(&self) -> f64 {
+    fn min(&self) -> f64 {
         self.from.min(self.to)
     }
 
-    fn high(&self) -> f64 {
+    fn max(&self) -> f64 {
         self.from.max(self.to)
     }
 }
@@ -77,18 +77,18 @@
 
             fn visit_f64<E: de::Error>(self, value: f64) -> Result<Range, E> {
                 if value.is_finite() {
-                    Ok(Range::only(value))
+                    Ok(Range::fixed(value))
                 } else {
                     Err(E::custom("a finite number is wanted"))
                 }
             }
 
             fn visit_i64<E: de::Error>(self, value: i64) -> Result<Range, E> {
-                Ok(Range::only(value as f64))
+                Ok(Range::fixed(value as f64))
             }
 
             fn visit_u64<E: de::Error>(self, value: u64) -> Result<Range, E> {
-                Ok(Range::only(value as f64))
+                Ok(Range::fixed(value as f64))
             }
 
             fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Range, A::Error> {
@@ -110,25 +110,25 @@
 
 /// What is wrong with a plan.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Problem {
+pub struct ValidationError {
     /// The key at fault, as `fault[2].zone`.
     pub key: String,
     /// What is wrong, and what would be right.
-    pub text: String,
+    pub message: String,
 }
 
-impl fmt::Display for Problem {
+impl fmt::Display for ValidationError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.key, self.text)
+        write!(f, "{}: {}", self.key, self.message)
     }
 }
 
-impl std::error::Error for Problem {}
+impl std::error::Error for ValidationError {}
 
 /// What is to be played.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Plan {
+pub struct Scenario {
     /// Nodes, servers and zones.
     pub fleet: Fleet,
     /// What clients ask for.
@@ -174,7 +174,8 @@
     /// Clients that watch and keep account of what they are told, each with a replica of its own first.
     pub watchers: u32,
     /// Clients that watch the first replica, as many as that in each equal part of the run, while the list changes.
-    pub crowd: Vec<u32>,
+    #[serde(rename = "crowd")]
+    pub watcher_steps: Vec<u32>,
 }
 
 impl Default for Registry {
@@ -187,7 +188,7 @@
             instances: 0,
             writes_per_s: 0.0,
             watchers: 3,
-            crowd: Vec::new(),
+            watcher_steps: Vec::new(),
         }
     }
 }
@@ -203,13 +204,17 @@
     /// How many app servers.
     pub servers: u32,
     /// Each zone's part of the servers against the others'; even if none is named.
-    pub sizes: Vec<f64>,
+    #[serde(rename = "sizes")]
+    pub zone_weights: Vec<f64>,
     /// App servers that share the keys they have seen, in a group.
-    pub group: Range,
+    #[serde(rename = "group")]
+    pub group_size: Range,
     /// Whether crowded servers turn slow.
-    pub chokes: bool,
+    #[serde(rename = "chokes")]
+    pub congestion: bool,
     /// Whether answers carry load reports.
-    pub reports: bool,
+    #[serde(rename = "reports")]
+    pub load_reports: bool,
 }
 
 impl Default for Fleet {
@@ -218,10 +223,10 @@
             zones: vec!["north".to_owned(), "south".to_owned()],
             nodes: 3,
             servers: 8,
-            sizes: Vec::new(),
-            group: Range::of(6.0, 10.0),
-            chokes: false,
-            reports: false,
+            zone_weights: Vec::new(),
+            group_size: Range::new(6.0, 10.0),
+            congestion: false,
+            load_reports: false,
         }
     }
 }
@@ -229,13 +234,15 @@
 /// When a client comes again after an answer that did not serve it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Again {
+pub enum RetryPolicy {
     /// Never.
     Never,
     /// At once.
-    AtOnce,
+    #[serde(rename = "at-once")]
+    Immediate,
     /// After a wait that doubles.
-    Later,
+    #[serde(rename = "later")]
+    Backoff,
 }
 
 /// What clients ask for.
@@ -247,21 +254,27 @@
     /// Share of what the servers can do, if `rps` is absent.
     pub utilisation: f64,
     /// How far it swings up and down, as a share.
-    pub swing: Range,
+    #[serde(rename = "swing")]
+    pub wave_amplitude: Range,
     /// Seconds from one crest to the next.
-    pub wave_s: Range,
+    #[serde(rename = "wave_s")]
+    pub wave_period_s: Range,
     /// How much more one zone is asked for than another, as a share.
     pub zone_skew: Range,
     /// When a client comes again.
-    pub again: Again,
+    #[serde(rename = "again")]
+    pub retry_policy: RetryPolicy,
     /// How often at most.
-    pub retries: u32,
+    #[serde(rename = "retries")]
+    pub max_retries: u32,
     /// The first wait before it, in milliseconds.
     pub backoff_ms: Range,
     /// Share of the clients that heed `Retry-After`.
-    pub heeds: Range,
+    #[serde(rename = "heeds")]
+    pub retry_after_share: Range,
     /// A try is given up after this share of the class's deadline.
-    pub try_share: Range,
+    #[serde(rename = "try_share")]
+    pub try_timeout_share: Range,
 }
 
 impl Default for Load {
@@ -269,14 +282,14 @@
         Self {
             rps: None,
             utilisation: 0.5,
-            swing: Range::of(0.1, 0.2),
-            wave_s: Range::of(8.0, 15.0),
-            zone_skew: Range::of(0.05, 0.3),
-            again: Again::Later,
-            retries: 2,
-            backoff_ms: Range::of(23.0, 180.0),
-            heeds: Range::of(0.28, 0.44),
-            try_share: Range::of(0.4, 1.0),
+            wave_amplitude: Range::new(0.1, 0.2),
+            wave_period_s: Range::new(8.0, 15.0),
+            zone_skew: Range::new(0.05, 0.3),
+            retry_policy: RetryPolicy::Backoff,
+            max_retries: 2,
+            backoff_ms: Range::new(23.0, 180.0),
+            retry_after_share: Range::new(0.28, 0.44),
+            try_timeout_share: Range::new(0.4, 1.0),
         }
     }
 }
@@ -286,16 +299,22 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Network {
     /// Within a zone, in milliseconds.
-    pub same_ms: Range,
+    #[serde(rename = "same_ms")]
+    pub intra_zone_ms: Range,
     /// Between zones, in milliseconds.
-    pub cross_ms: Range,
+    #[serde(rename = "cross_ms")]
+    pub cross_zone_ms: Range,
     /// Relative spread of each delay.
     pub jitter: Range,
 }
 
 impl Default for Network {
     fn default() -> Self {
-        Self { same_ms: Range::of(0.16, 0.34), cross_ms: Range::of(4.8, 8.6), jitter: Range::of(0.09, 0.31) }
+        Self {
+            intra_zone_ms: Range::new(0.16, 0.34),
+            cross_zone_ms: Range::new(4.8, 8.6),
+            jitter: Range::new(0.09, 0.31),
+        }
     }
 }
 
@@ -304,14 +323,16 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Discovery {
     /// A change reaches the nodes so many seconds after it happened.
-    pub notice_s: Range,
+    #[serde(rename = "notice_s")]
+    pub propagation_s: Range,
     /// A server that has fallen silent is missed after so many seconds.
-    pub silent_s: Range,
+    #[serde(rename = "silent_s")]
+    pub failure_detection_s: Range,
 }
 
 impl Default for Discovery {
     fn default() -> Self {
-        Self { notice_s: Range::of(0.58, 2.9), silent_s: Range::of(5.3, 12.0) }
+        Self { propagation_s: Range::new(0.58, 2.9), failure_detection_s: Range::new(5.3, 12.0) }
     }
 }
 
@@ -322,23 +343,27 @@
     /// Nothing new goes to a server so long after the node was told that it drains.
     pub drain_grace_ms: f64,
     /// A cold server sent more than this multiple of its capacity falls over ...
-    pub fall_multiple: f64,
+    #[serde(rename = "fall_multiple")]
+    pub overload_factor: f64,
     /// ... counted over any span of this length.
-    pub fall_ms: f64,
+    #[serde(rename = "fall_ms")]
+    pub overload_window_ms: f64,
     /// The longest pause that a refusal may advise.
-    pub retry_after_ms: f64,
+    #[serde(rename = "retry_after_ms")]
+    pub max_retry_after_ms: f64,
     /// Attempts for one request at most.
-    pub attempts: u32,
+    #[serde(rename = "attempts")]
+    pub max_attempts: u32,
 }
 
 impl Default for Rules {
     fn default() -> Self {
         Self {
             drain_grace_ms: 500.0,
-            fall_multiple: 3.0,
-            fall_ms: 1500.0,
-            retry_after_ms: 1500.0,
-            attempts: 3,
+            overload_factor: 3.0,
+            overload_window_ms: 1500.0,
+            max_retry_after_ms: 1500.0,
+            max_attempts: 3,
         }
     }
 }
@@ -356,35 +381,39 @@
     /// Speed of a core against the standard one.
     pub speed: Range,
     /// Requests in work for each core.
-    pub slots: Range,
+    #[serde(rename = "slots")]
+    pub concurrency: Range,
     /// Requests that wait for each core.
-    pub room: Range,
+    #[serde(rename = "room")]
+    pub queue_capacity: Range,
     /// Loss of efficiency when crowded.
     pub thrash: Range,
     /// Requests held for each core from which on efficiency is lost.
     pub thrash_at: Range,
     /// Share of its capacity that it starts with.
-    pub cold_from: Range,
+    #[serde(rename = "cold_from")]
+    pub initial_capacity: Range,
     /// Seconds until it is warm.
-    pub cold_s: Range,
+    #[serde(rename = "cold_s")]
+    pub slow_start_s: Range,
     /// Share of its requests that fail by themselves.
     #[serde(default)]
     pub error_rate: f64,
 }
 
 impl Kind {
-    fn usual(name: &str, share: f64, cores: u32, speed: Range) -> Self {
+    fn with_defaults(name: &str, share: f64, cores: u32, speed: Range) -> Self {
         Self {
             name: name.to_owned(),
             share,
             cores,
             speed,
-            slots: Range::of(7.0, 16.0),
-            room: Range::of(12.0, 23.0),
-            thrash: Range::of(0.15, 0.4),
-            thrash_at: Range::of(11.0, 26.0),
-            cold_from: Range::of(0.15, 0.35),
-            cold_s: Range::of(11.0, 22.0),
+            concurrency: Range::new(7.0, 16.0),
+            queue_capacity: Range::new(12.0, 23.0),
+            thrash: Range::new(0.15, 0.4),
+            thrash_at: Range::new(11.0, 26.0),
+            initial_capacity: Range::new(0.15, 0.35),
+            slow_start_s: Range::new(11.0, 22.0),
             error_rate: 0.0005,
         }
     }
@@ -393,13 +422,15 @@
 /// Whether a request may take effect twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Effect {
+pub enum Idempotency {
     /// Safe to repeat.
-    Repeatable,
+    #[serde(rename = "repeatable")]
+    Idempotent,
     /// Repeats are dropped inside a group of servers for a while.
     Keyed,
     /// Must not run twice.
-    Once,
+    #[serde(rename = "once")]
+    NonIdempotent,
 }
 
 /// A request class.
@@ -413,22 +444,27 @@
     /// Work on a standard core, in milliseconds.
     pub work_ms: Range,
     /// Waits on others, in milliseconds.
-    pub wait_ms: Range,
+    #[serde(rename = "wait_ms")]
+    pub io_wait_ms: Range,
     /// Spread of the work, as a coefficient of variation.
     pub cv: Range,
     /// Wanted time, in milliseconds.
-    pub aim_ms: f64,
+    #[serde(rename = "aim_ms")]
+    pub latency_target_ms: f64,
     /// When a client gives up, in milliseconds.
     pub deadline_ms: f64,
     /// Worth of one.
-    pub worth: f64,
+    #[serde(rename = "worth")]
+    pub value: f64,
     /// Share of the worth that is left after the aim.
-    pub late_worth: f64,
+    #[serde(rename = "late_worth")]
+    pub late_value_share: f64,
     /// Whether it may be repeated.
-    pub effect: Effect,
+    #[serde(rename = "effect")]
+    pub idempotency: Idempotency,
     /// How long repeats of a keyed one are dropped, in milliseconds.
-    #[serde(default)]
-    pub window_ms: f64,
+    #[serde(rename = "window_ms", default)]
+    pub dedup_window_ms: f64,
 }
 
 /// A customer.
@@ -446,7 +482,7 @@
 /// What goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Trouble {
+pub enum FaultKind {
     /// A node's process is killed, and started again after `for_s`.
     KillNode,
     /// A node's process is paused for `for_s`.
@@ -508,15 +544,16 @@
 #[serde(deny_unknown_fields)]
 pub struct Fault {
     /// What goes wrong.
-    pub what: Trouble,
+    #[serde(rename = "what")]
+    pub kind: FaultKind,
     /// When it begins, in seconds from the start of the load.
     pub at_s: Range,
     /// How long it lasts; to the end of the run if absent.
-    #[serde(default)]
-    pub for_s: Option<Range>,
+    #[serde(rename = "for_s", default)]
+    pub duration_s: Option<Range>,
     /// One node, server or replica by its name, a zone by its name, or `leader` for the replica that leads then.
-    #[serde(default)]
-    pub who: Option<String>,
+    #[serde(rename = "who", default)]
+    pub target: Option<String>,
     /// How many nodes or servers, drawn by the seed.
     #[serde(default)]
     pub count: Option<u32>,
@@ -542,18 +579,18 @@
     #[serde(default)]
     pub cold: bool,
     /// Seconds between one target and the next.
-    #[serde(default)]
-    pub step_s: Option<Range>,
+    #[serde(rename = "step_s", default)]
+    pub interval_s: Option<Range>,
 }
 
 impl Fault {
     /// One that begins then and lasts to the end of the run, and says nothing else.
-    pub fn new(what: Trouble, at_s: Range) -> Self {
+    pub fn new(what: FaultKind, at_s: Range) -> Self {
         Self {
-            what,
+            kind: what,
             at_s,
-            for_s: None,
-            who: None,
+            duration_s: None,
+            target: None,
             count: None,
             share: None,
             zone: None,
@@ -562,32 +599,32 @@
             to: None,
             one_way: false,
             cold: false,
-            step_s: None,
+            interval_s: None,
         }
     }
 }
 
-impl Trouble {
+impl FaultKind {
     /// Whether it picks nodes, servers, or neither.
-    pub fn picks(self) -> Picks {
+    pub fn target_kind(self) -> TargetKind {
         match self {
-            Self::KillNode | Self::PauseNode | Self::RestartNode | Self::LateNode => Picks::Nodes,
+            Self::KillNode | Self::PauseNode | Self::RestartNode | Self::LateNode => TargetKind::Nodes,
             Self::KillServer
             | Self::SlowServer
             | Self::HangServer
             | Self::FailServer
             | Self::BusyServer
-            | Self::ReplaceServer => Picks::Servers,
-            Self::KillReplica | Self::PauseReplica | Self::LoseReplica => Picks::Replicas,
-            Self::LoseZone | Self::OrderZone => Picks::Zone,
-            Self::CutLink | Self::DelayLink | Self::ThrottleLink | Self::ResetLink => Picks::Link,
-            Self::FloodTenant => Picks::Tenant,
-            _ => Picks::Nothing,
+            | Self::ReplaceServer => TargetKind::Servers,
+            Self::KillReplica | Self::PauseReplica | Self::LoseReplica => TargetKind::Replicas,
+            Self::LoseZone | Self::OrderZone => TargetKind::Zone,
+            Self::CutLink | Self::DelayLink | Self::ThrottleLink | Self::ResetLink => TargetKind::Link,
+            Self::FloodTenant => TargetKind::Tenant,
+            _ => TargetKind::Global,
         }
     }
 
     /// What `factor` stands for, with its least and its most; none where it takes none.
-    pub fn factor(self) -> Option<(&'static str, f64, f64)> {
+    pub fn factor_bounds(self) -> Option<(&'static str, f64, f64)> {
         Some(match self {
             Self::SlowServer => ("times slower, 1 to 100", 1.0, 100.0),
             Self::FailServer => ("the share that fails, 0 to 1", 0.0, 1.0),
@@ -607,7 +644,7 @@
 
 /// Whom a trouble concerns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Picks {
+pub enum TargetKind {
     /// Nodes, by `who`, `count` or `share`.
     Nodes,
     /// App servers, by `who`, `count` or `share`.
@@ -621,47 +658,47 @@
     /// The tenant that `who` names.
     Tenant,
     /// Nobody in particular.
-    Nothing,
+    Global,
 }
 
-impl Plan {
+impl Scenario {
     /// Fills in what an empty plan leaves to the usual: kinds and classes.
-    pub fn with_usual(mut self) -> Self {
+    pub fn with_defaults(mut self) -> Self {
         if self.kinds.is_empty() {
             self.kinds = vec![
-                Kind::usual("fast-single", 0.25, 1, Range::of(1.1, 1.5)),
-                Kind::usual("dual-core", 0.44, 2, Range::of(0.85, 1.1)),
-                Kind::usual("slow-single", 0.31, 1, Range::of(0.59, 0.8)),
+                Kind::with_defaults("fast-single", 0.25, 1, Range::new(1.1, 1.5)),
+                Kind::with_defaults("dual-core", 0.44, 2, Range::new(0.85, 1.1)),
+                Kind::with_defaults("slow-single", 0.31, 1, Range::new(0.59, 0.8)),
             ];
         }
         if self.classes.is_empty() {
             let class = |name: &str, share, aim_ms, worth, late_worth, effect| Class {
                 name: String::from(name),
                 share,
-                work_ms: Range::of(53.0, 97.0),
-                wait_ms: Range::of(37.0, 68.0),
-                cv: Range::of(0.32, 0.79),
-                aim_ms,
+                work_ms: Range::new(53.0, 97.0),
+                io_wait_ms: Range::new(37.0, 68.0),
+                cv: Range::new(0.32, 0.79),
+                latency_target_ms: aim_ms,
                 deadline_ms: 1500.0,
-                worth,
-                late_worth,
-                effect,
-                window_ms: 1500.0,
+                value: worth,
+                late_value_share: late_worth,
+                idempotency: effect,
+                dedup_window_ms: 1500.0,
             };
             self.classes = vec![
-                class("save", 0.84, 750.0, 8.0, 0.2, Effect::Keyed),
-                class("sign", 0.16, 500.0, 10.0, 0.25, Effect::Once),
+                class("save", 0.84, 750.0, 8.0, 0.2, Idempotency::Keyed),
+                class("sign", 0.16, 500.0, 10.0, 0.25, Idempotency::NonIdempotent),
             ];
         }
         self
     }
 
     /// What makes no sense in it, with the key at fault; the first of all.
-    pub fn check(&self) -> Result<(), Problem> {
-        let problem = |key: String, text: String| Err(Problem { key, text });
+    pub fn validate(&self) -> Result<(), ValidationError> {
+        let problem = |key: String, text: String| Err(ValidationError { key, message: text });
         let fleet = &self.fleet;
-        if fleet.zones.is_empty() || fleet.zones.len() > MOST_ZONES {
-            return problem("fleet.zones".into(), format!("1 to {MOST_ZONES} names are wanted"));
+        if fleet.zones.is_empty() || fleet.zones.len() > MAX_ZONES {
+            return problem("fleet.zones".into(), format!("1 to {MAX_ZONES} names are wanted"));
         }
         for (at, zone) in fleet.zones.iter().enumerate() {
             if zone.is_empty() || fleet.zones[..at].contains(zone) {
@@ -669,7 +706,7 @@
             }
         }
         for (key, value, most) in
-            [("fleet.nodes", fleet.nodes, MOST_NODES), ("fleet.servers", fleet.servers, MOST_SERVERS)]
+            [("fleet.nodes", fleet.nodes, MAX_NODES), ("fleet.servers", fleet.servers, MAX_SERVERS)]
         {
             if value == 0 || value > most {
                 return problem(key.into(), format!("1 to {most} is wanted, not {value}"));
@@ -678,72 +715,72 @@
         if (fleet.servers as usize) < fleet.zones.len() {
             return problem("fleet.servers".into(), "each zone needs one at least".into());
         }
-        if !fleet.sizes.is_empty() && fleet.sizes.len() != fleet.zones.len() {
+        if !fleet.zone_weights.is_empty() && fleet.zone_weights.len() != fleet.zones.len() {
             return problem(
                 "fleet.sizes".into(),
                 format!("{} figures are wanted, one a zone", fleet.zones.len()),
             );
         }
-        if !fleet.sizes.iter().all(|size| *size > 0.0 && size.is_finite()) {
+        if !fleet.zone_weights.iter().all(|size| *size > 0.0 && size.is_finite()) {
             return problem("fleet.sizes".into(), "figures above 0 are wanted".into());
         }
         let between = |key: &str, range: Range, least: f64, most: f64| {
-            if range.low() < least || range.high() > most {
+            if range.min() < least || range.max() > most {
                 return problem(key.to_owned(), format!("{least} to {most} is wanted"));
             }
             Ok(())
         };
-        between("fleet.group", fleet.group, 1.0, 10_000.0)?;
+        between("fleet.group", fleet.group_size, 1.0, 10_000.0)?;
         let load = &self.load;
         if let Some(rps) = load.rps {
-            between("load.rps", Range::only(rps), 0.1, MOST_RPS)?;
+            between("load.rps", Range::fixed(rps), 0.1, MAX_RPS)?;
         }
-        between("load.utilisation", Range::only(load.utilisation), 0.01, 10.0)?;
-        between("load.swing", load.swing, 0.0, 0.9)?;
-        between("load.wave_s", load.wave_s, 0.5, MOST_SECONDS)?;
+        between("load.utilisation", Range::fixed(load.utilisation), 0.01, 10.0)?;
+        between("load.swing", load.wave_amplitude, 0.0, 0.9)?;
+        between("load.wave_s", load.wave_period_s, 0.5, MAX_RUN_SECONDS)?;
         between("load.zone_skew", load.zone_skew, 0.0, 0.9)?;
-        between("load.retries", Range::only(load.retries.into()), 0.0, 10.0)?;
+        between("load.retries", Range::fixed(load.max_retries.into()), 0.0, 10.0)?;
         between("load.backoff_ms", load.backoff_ms, 1.0, 60_000.0)?;
-        between("load.heeds", load.heeds, 0.0, 1.0)?;
-        between("load.try_share", load.try_share, 0.05, 1.0)?;
-        between("network.same_ms", self.network.same_ms, 0.01, 1000.0)?;
-        between("network.cross_ms", self.network.cross_ms, 0.01, 1000.0)?;
+        between("load.heeds", load.retry_after_share, 0.0, 1.0)?;
+        between("load.try_share", load.try_timeout_share, 0.05, 1.0)?;
+        between("network.same_ms", self.network.intra_zone_ms, 0.01, 1000.0)?;
+        between("network.cross_ms", self.network.cross_zone_ms, 0.01, 1000.0)?;
         between("network.jitter", self.network.jitter, 0.0, 0.9)?;
-        between("discovery.notice_s", self.discovery.notice_s, 0.0, 60.0)?;
-        between("discovery.silent_s", self.discovery.silent_s, 0.0, 600.0)?;
-        between("rules.drain_grace_ms", Range::only(self.rules.drain_grace_ms), 1.0, 60_000.0)?;
-        between("rules.fall_multiple", Range::only(self.rules.fall_multiple), 1.0, 100.0)?;
-        between("rules.fall_ms", Range::only(self.rules.fall_ms), 10.0, 60_000.0)?;
-        between("rules.retry_after_ms", Range::only(self.rules.retry_after_ms), 0.0, 60_000.0)?;
-        between("rules.attempts", Range::only(self.rules.attempts.into()), 1.0, 10.0)?;
+        between("discovery.notice_s", self.discovery.propagation_s, 0.0, 60.0)?;
+        between("discovery.silent_s", self.discovery.failure_detection_s, 0.0, 600.0)?;
+        between("rules.drain_grace_ms", Range::fixed(self.rules.drain_grace_ms), 1.0, 60_000.0)?;
+        between("rules.fall_multiple", Range::fixed(self.rules.overload_factor), 1.0, 100.0)?;
+        between("rules.fall_ms", Range::fixed(self.rules.overload_window_ms), 10.0, 60_000.0)?;
+        between("rules.retry_after_ms", Range::fixed(self.rules.max_retry_after_ms), 0.0, 60_000.0)?;
+        between("rules.attempts", Range::fixed(self.rules.max_attempts.into()), 1.0, 10.0)?;
         for (n, kind) in self.kinds.iter().enumerate() {
             let key = |field: &str| format!("kind[{n}].{field}");
-            between(&key("share"), Range::only(kind.share), 1e-6, 1e6)?;
-            between(&key("cores"), Range::only(kind.cores.into()), 1.0, 1024.0)?;
+            between(&key("share"), Range::fixed(kind.share), 1e-6, 1e6)?;
+            between(&key("cores"), Range::fixed(kind.cores.into()), 1.0, 1024.0)?;
             between(&key("speed"), kind.speed, 0.01, 100.0)?;
-            between(&key("slots"), kind.slots, 1.0, 10_000.0)?;
-            between(&key("room"), kind.room, 0.0, 100_000.0)?;
+            between(&key("slots"), kind.concurrency, 1.0, 10_000.0)?;
+            between(&key("room"), kind.queue_capacity, 0.0, 100_000.0)?;
             between(&key("thrash"), kind.thrash, 0.0, 10.0)?;
             between(&key("thrash_at"), kind.thrash_at, 1.0, 10_000.0)?;
-            between(&key("cold_from"), kind.cold_from, 0.01, 1.0)?;
-            between(&key("cold_s"), kind.cold_s, 0.0, 600.0)?;
-            between(&key("error_rate"), Range::only(kind.error_rate), 0.0, 1.0)?;
+            between(&key("cold_from"), kind.initial_capacity, 0.01, 1.0)?;
+            between(&key("cold_s"), kind.slow_start_s, 0.0, 600.0)?;
+            between(&key("error_rate"), Range::fixed(kind.error_rate), 0.0, 1.0)?;
         }
         for (n, class) in self.classes.iter().enumerate() {
             let key = |field: &str| format!("class[{n}].{field}");
             if class.name.is_empty() || self.classes[..n].iter().any(|other| other.name == class.name) {
                 return problem(key("name"), "is empty or stands twice".into());
             }
-            between(&key("share"), Range::only(class.share), 1e-6, 1e6)?;
+            between(&key("share"), Range::fixed(class.share), 1e-6, 1e6)?;
             between(&key("work_ms"), class.work_ms, 0.01, 60_000.0)?;
-            between(&key("wait_ms"), class.wait_ms, 0.0, 60_000.0)?;
+            between(&key("wait_ms"), class.io_wait_ms, 0.0, 60_000.0)?;
             between(&key("cv"), class.cv, 0.0, 5.0)?;
-            between(&key("aim_ms"), Range::only(class.aim_ms), 1.0, 60_000.0)?;
-            between(&key("deadline_ms"), Range::only(class.deadline_ms), class.aim_ms, 60_000.0)?;
-            between(&key("worth"), Range::only(class.worth), 0.0, 1e6)?;
-            between(&key("late_worth"), Range::only(class.late_worth), 0.0, 1.0)?;
-            if class.effect == Effect::Keyed {
-                between(&key("window_ms"), Range::only(class.window_ms), 1.0, 600_000.0)?;
+            between(&key("aim_ms"), Range::fixed(class.latency_target_ms), 1.0, 60_000.0)?;
+            between(&key("deadline_ms"), Range::fixed(class.deadline_ms), class.latency_target_ms, 60_000.0)?;
+            between(&key("worth"), Range::fixed(class.value), 0.0, 1e6)?;
+            between(&key("late_worth"), Range::fixed(class.late_value_share), 0.0, 1.0)?;
+            if class.idempotency == Idempotency::Keyed {
+                between(&key("window_ms"), Range::fixed(class.dedup_window_ms), 1.0, 600_000.0)?;
             }
         }
         for (n, tenant) in self.tenants.iter().enumerate() {
@@ -751,38 +788,39 @@
             if tenant.name.is_empty() || self.tenants[..n].iter().any(|other| other.name == tenant.name) {
                 return problem(key("name"), "is empty or stands twice".into());
             }
-            between(&key("share"), Range::only(tenant.share), 0.0, 1.0)?;
+            between(&key("share"), Range::fixed(tenant.share), 0.0, 1.0)?;
             between(&key("usage"), tenant.usage, 0.0, 100.0)?;
         }
         let registry = &self.registry;
-        if registry.replicas > MOST_REPLICAS || registry.replicas.is_multiple_of(2) && registry.replicas > 0 {
-            return problem(
-                "registry.replicas".into(),
-                format!("0, 1, 3, 5, 7 or {MOST_REPLICAS} is wanted"),
-            );
+        if registry.replicas > MAX_REPLICAS || registry.replicas.is_multiple_of(2) && registry.replicas > 0 {
+            return problem("registry.replicas".into(), format!("0, 1, 3, 5, 7 or {MAX_REPLICAS} is wanted"));
         }
-        between("registry.lease_ms", Range::only(registry.lease_ms), 500.0, 600_000.0)?;
-        between("registry.renew_ms", Range::only(registry.renew_ms), 50.0, registry.lease_ms / 2.0)?;
-        between("registry.snapshot_every", Range::only(registry.snapshot_every.into()), 10.0, 1e6)?;
-        between("registry.instances", Range::only(registry.instances.into()), 0.0, 10_000.0)?;
-        between("registry.writes_per_s", Range::only(registry.writes_per_s), 0.0, 1000.0)?;
-        between("registry.watchers", Range::only(registry.watchers.into()), 0.0, 1000.0)?;
-        for watchers in &registry.crowd {
-            between("registry.crowd", Range::only((*watchers).into()), 1.0, 15_000.0)?;
+        between("registry.lease_ms", Range::fixed(registry.lease_ms), 500.0, 600_000.0)?;
+        between("registry.renew_ms", Range::fixed(registry.renew_ms), 50.0, registry.lease_ms / 2.0)?;
+        between("registry.snapshot_every", Range::fixed(registry.snapshot_every.into()), 10.0, 1e6)?;
+        between("registry.instances", Range::fixed(registry.instances.into()), 0.0, 10_000.0)?;
+        between("registry.writes_per_s", Range::fixed(registry.writes_per_s), 0.0, 1000.0)?;
+        between("registry.watchers", Range::fixed(registry.watchers.into()), 0.0, 1000.0)?;
+        for watchers in &registry.watcher_steps {
+            between("registry.crowd", Range::fixed((*watchers).into()), 1.0, 15_000.0)?;
         }
-        if self.faults.len() > MOST_FAULTS {
-            return problem("fault".into(), format!("{MOST_FAULTS} at most, not {}", self.faults.len()));
+        if self.faults.len() > MAX_FAULTS {
+            return problem("fault".into(), format!("{MAX_FAULTS} at most, not {}", self.faults.len()));
         }
-        self.faults.iter().enumerate().try_for_each(|(n, fault)| self.check_fault(n, fault))
+        self.faults.iter().enumerate().try_for_each(|(n, fault)| self.validate_fault(n, fault))
     }
 
-    fn check_fault(&self, n: usize, fault: &Fault) -> Result<(), Problem> {
-        let problem = |field: &str, text: String| Err(Problem { key: format!("fault[{n}].{field}"), text });
-        let picks = fault.what.picks();
-        if fault.at_s.low() < 0.0 || fault.at_s.high() > MOST_SECONDS {
-            return problem("at_s", format!("0 to {MOST_SECONDS} is wanted"));
+    fn validate_fault(&self, n: usize, fault: &Fault) -> Result<(), ValidationError> {
+        let problem = |field: &str, text: String| {
+            Err(ValidationError { key: format!("fault[{n}].{field}"), message: text })
+        };
+        let picks = fault.kind.target_kind();
+        if fault.at_s.min() < 0.0 || fault.at_s.max() > MAX_RUN_SECONDS {
+            return problem("at_s", format!("0 to {MAX_RUN_SECONDS} is wanted"));
         }
-        if fault.for_s.is_some_and(|span| span.low() < 0.0) || fault.step_s.is_some_and(|s| s.low() < 0.0) {
+        if fault.duration_s.is_some_and(|span| span.min() < 0.0)
+            || fault.interval_s.is_some_and(|s| s.min() < 0.0)
+        {
             return problem("for_s", "0 or more is wanted".into());
         }
         let known = |zone: &String| self.fleet.zones.contains(zone);
@@ -790,34 +828,34 @@
         if let Some(zone) = fault.zone.as_ref().filter(|zone| !known(zone)) {
             return problem("zone", format!("{zone:?} is none of {zones}"));
         }
-        match (fault.what.factor(), fault.factor) {
+        match (fault.kind.factor_bounds(), fault.factor) {
             (Some((unit, ..)), None) => return problem("factor", format!("is wanted: {unit}")),
             (None, Some(_)) => return problem("factor", "does not go with this trouble".into()),
-            (Some((unit, least, most)), Some(range)) if range.low() < least || range.high() > most => {
+            (Some((unit, least, most)), Some(range)) if range.min() < least || range.max() > most => {
                 return problem("factor", format!("is wanted as {unit}"));
             }
             _ => {}
         }
-        let named = [fault.who.is_some(), fault.count.is_some(), fault.share.is_some()];
+        let named = [fault.target.is_some(), fault.count.is_some(), fault.share.is_some()];
         let picked = named.iter().filter(|given| **given).count();
         match picks {
-            Picks::Nodes | Picks::Servers | Picks::Replicas => {
+            TargetKind::Nodes | TargetKind::Servers | TargetKind::Replicas => {
                 if picked != 1 {
                     return problem("who", "one of who, count or share is wanted".into());
                 }
-                if fault.share.is_some_and(|share| share.low() < 0.0 || share.high() > 1.0) {
+                if fault.share.is_some_and(|share| share.min() < 0.0 || share.max() > 1.0) {
                     return problem("share", "0 to 1 is wanted".into());
                 }
                 let (prefix, most) = match picks {
-                    Picks::Nodes => ("n", self.fleet.nodes),
-                    Picks::Servers => ("s", self.fleet.servers),
+                    TargetKind::Nodes => ("n", self.fleet.nodes),
+                    TargetKind::Servers => ("s", self.fleet.servers),
                     _ => ("r", self.registry.replicas),
                 };
-                if picks == Picks::Replicas && most == 0 {
+                if picks == TargetKind::Replicas && most == 0 {
                     return problem("what", "there is no registry: set registry.replicas".into());
                 }
-                let leads = picks == Picks::Replicas && fault.who.as_deref() == Some(LEADER);
-                if let Some(who) = fault.who.as_ref().filter(|_| !leads) {
+                let leads = picks == TargetKind::Replicas && fault.target.as_deref() == Some(LEADER);
+                if let Some(who) = fault.target.as_ref().filter(|_| !leads) {
                     let number = who.strip_prefix(prefix).and_then(|number| number.parse::<u32>().ok());
                     if number.is_none_or(|number| number >= most) {
                         return problem(
@@ -827,23 +865,23 @@
                     }
                 }
             }
-            Picks::Zone => match &fault.who {
+            TargetKind::Zone => match &fault.target {
                 Some(zone) if known(zone) => {}
                 Some(zone) => return problem("who", format!("{zone:?} is none of {zones}")),
                 None => return problem("who", format!("a zone is wanted, one of {zones}")),
             },
-            Picks::Tenant => {
+            TargetKind::Tenant => {
                 let names: Vec<&str> = self.tenants.iter().map(|tenant| tenant.name.as_str()).collect();
-                if !fault.who.as_deref().is_some_and(|who| names.contains(&who)) {
+                if !fault.target.as_deref().is_some_and(|who| names.contains(&who)) {
                     return problem("who", format!("a tenant is wanted, one of: {}", names.join(", ")));
                 }
             }
-            Picks::Link => {
+            TargetKind::Link => {
                 for (field, end) in [("from", &fault.from), ("to", &fault.to)] {
                     let Some(end) = end else {
                         return problem(field, "is wanted: a node, a server, a zone, discovery or *".into());
                     };
-                    if !self.is_party(end) {
+                    if !self.is_link_end(end) {
                         return problem(
                             field,
                             format!("{end:?} is no node, server or zone, nor discovery or *"),
@@ -851,19 +889,21 @@
                     }
                 }
             }
-            Picks::Nothing if picked > 0 => return problem("who", "does not go with this trouble".into()),
-            Picks::Nothing => {}
+            TargetKind::Global if picked > 0 => {
+                return problem("who", "does not go with this trouble".into());
+            }
+            TargetKind::Global => {}
         }
-        if picks != Picks::Link && (fault.from.is_some() || fault.to.is_some() || fault.one_way) {
+        if picks != TargetKind::Link && (fault.from.is_some() || fault.to.is_some() || fault.one_way) {
             return problem("from", "goes with links only".into());
         }
-        if fault.what != Trouble::LoseZone && fault.cold {
+        if fault.kind != FaultKind::LoseZone && fault.cold {
             return problem("cold", "goes with lose-zone only".into());
         }
         Ok(())
     }
 
-    fn is_party(&self, name: &str) -> bool {
+    fn is_link_end(&self, name: &str) -> bool {
         let number = |prefix: &str| name.strip_prefix(prefix).and_then(|number| number.parse::<u32>().ok());
         matches!(name, "*" | "discovery")
             || self.fleet.zones.iter().any(|zone| zone == name)
--- a/model/src/run.rs
+++ b/model/src/run.rs
@@ -10,7 +10,7 @@
 use crate::ledger::Ledger;
 use crate::measure::Tally;
 use crate::module::{Module, Own};
-use crate::plan::Plan;
+use crate::plan::Scenario;
 use crate::shard::{ANSWER_SLACK, Common, Mail, Shard};
 use crate::timeline::Timeline;
 use crate::world::{SECOND, World};
@@ -71,13 +71,13 @@
 }
 
 /// Plays a checked plan on this build's own decisions.
-pub fn play(plan: &Plan, seed: u64, options: Options) -> Result<Played, String> {
+pub fn play(plan: &Scenario, seed: u64, options: Options) -> Result<Played, String> {
     play_with(plan, seed, options, |_| Ok(Box::<Own>::default()))
 }
 
 /// Plays a checked plan, with the decisions that `module` makes for each zone.
 pub fn play_with(
-    plan: &Plan,
+    plan: &Scenario,
     seed: u64,
     options: Options,
     mut module: impl FnMut(u32) -> Result<Box<dyn Module>, String>,
--- a/model/src/shard/driver.rs
+++ b/model/src/shard/driver.rs
@@ -116,7 +116,7 @@
         let class = &common.world.classes[ask.class];
         // One key for all tries of a client's request; each zone's clients count from 0.
         let key = u64::from(ask.zone) << (64 - ZONE_BITS) | ask.number;
-        let key = (class.effect == Effect::Keyed).then_some((Key { cell, key }, class.window));
+        let key = (class.effect == Idempotency::Keyed).then_some((Key { cell, key }, class.window));
         let luck = self.rng.random();
         let id_of_job = job_id(self.zone, id, attempt);
         let job = Job {
--- a/model/src/shard/mod.rs
+++ b/model/src/shard/mod.rs
@@ -26,7 +26,7 @@
 use crate::ledger::{Answer, Ledger, Limits, Rule};
 use crate::measure::{Fate, Tally};
 use crate::module::Module;
-use crate::plan::{Effect, Range};
+use crate::plan::{Idempotency, Range};
 use crate::server::{Ailment, End, Job, Offer, Server};
 use crate::slab::Slab;
 use crate::timeline::{DISCOVERY, Timeline};
@@ -46,7 +46,7 @@
 /// Times the way there and back that a new connection takes before its first request is on the way.
 const HANDSHAKE_WAYS: u64 = 4;
 /// How long the front goes on sending to a dead node.
-const FRONT_NOTICE: Range = Range::of(1.1, 3.9);
+const FRONT_NOTICE: Range = Range::new(1.1, 3.9);
 /// A client's way to a node.
 const CLIENT_WAY: Nanos = MS / 2;
 /// Bits of a job's number that tell the attempt, and those that tell the zone of its node.
@@ -258,7 +258,7 @@
             observers: common.tick,
         };
         let mut rng = stream(world.seed, 1000 + u64::from(zone));
-        let front = crate::world::seconds(FRONT_NOTICE.at(rng.random()));
+        let front = crate::world::seconds(FRONT_NOTICE.interpolate(rng.random()));
         let of_zone = |(number, node): (usize, &crate::world::NodeInfo)| {
             (node.zone == zone).then(|| Node {
                 number,
--- a/model/src/world.rs
+++ b/model/src/world.rs
@@ -7,7 +7,7 @@
 use rand_chacha::ChaCha12Rng;
 use serde_json::{Value, json};
 
-use crate::plan::{Again, Effect, Fault, LEADER, Picks, Plan, Range, Trouble};
+use crate::plan::{Fault, FaultKind, Idempotency, LEADER, Range, RetryPolicy, Scenario, TargetKind};
 use crate::server::{CancelRule, Choke, Reporting, Spec};
 
 /// A second.
@@ -72,7 +72,7 @@
     /// Share of it that is left after the aim.
     pub late_worth: f64,
     /// Whether it may be repeated.
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// How long repeats of a keyed one are dropped.
     pub window: Nanos,
 }
@@ -100,7 +100,7 @@
     /// Part of the requests that come to each zone's nodes, all together 1.
     pub zones: Vec<f64>,
     /// When a client comes again.
-    pub again: Again,
+    pub again: RetryPolicy,
     /// How often at most.
     pub retries: u32,
     /// First wait before it.
@@ -269,7 +269,7 @@
 }
 
 fn draw(rng: &mut impl Rng, range: Range) -> f64 {
-    range.at(rng.random::<f64>())
+    range.interpolate(rng.random::<f64>())
 }
 
 /// Deals whole numbers out by shares, so that they add up.
@@ -289,14 +289,14 @@
 
 impl World {
     /// Draws a checked plan's figures.
-    pub fn draw(plan: &Plan, seed: u64) -> Self {
-        let plan = &plan.clone().with_usual();
+    pub fn draw(plan: &Scenario, seed: u64) -> Self {
+        let plan = &plan.clone().with_defaults();
         let rules = RuleInfo {
             drain_grace: millis(plan.rules.drain_grace_ms),
-            retry_after: millis(plan.rules.retry_after_ms),
-            attempts: plan.rules.attempts,
-            fall_multiple: plan.rules.fall_multiple,
-            fall_span: millis(plan.rules.fall_ms),
+            retry_after: millis(plan.rules.max_retry_after_ms),
+            attempts: plan.rules.max_attempts,
+            fall_multiple: plan.rules.overload_factor,
+            fall_span: millis(plan.rules.overload_window_ms),
         };
         let zones = plan.fleet.zones.len();
         let nodes: Vec<NodeInfo> = (0..plan.fleet.nodes)
@@ -320,14 +320,14 @@
         let sum: f64 = parts.iter().sum();
         let load = LoadInfo {
             rps: plan.load.rps.unwrap_or(most * plan.load.utilisation),
-            swing: draw(rng, plan.load.swing),
-            wave: seconds(draw(rng, plan.load.wave_s)),
+            swing: draw(rng, plan.load.wave_amplitude),
+            wave: seconds(draw(rng, plan.load.wave_period_s)),
             zones: parts.iter().map(|part| part / sum).collect(),
-            again: plan.load.again,
-            retries: plan.load.retries,
+            again: plan.load.retry_policy,
+            retries: plan.load.max_retries,
             backoff: millis(draw(rng, plan.load.backoff_ms)),
-            heeds: draw(rng, plan.load.heeds),
-            try_share: draw(rng, plan.load.try_share),
+            heeds: draw(rng, plan.load.retry_after_share),
+            try_share: draw(rng, plan.load.try_timeout_share),
         };
         let usage: Vec<f64> = plan.tenants.iter().map(|t| t.share * draw(rng, t.usage)).collect();
         let all = usage.iter().sum::<f64>().max(1e-9);
@@ -337,9 +337,16 @@
             quota: tenant.share * most,
         });
         let rng = &mut stream(seed, 4);
-        let warm = plan.kinds.iter().map(|kind| kind.cold_s.from.max(kind.cold_s.to)).fold(0.0, f64::max);
-        let cold =
-            plan.kinds.iter().map(|kind| kind.cold_from.from.min(kind.cold_from.to)).fold(1.0, f64::min);
+        let warm = plan
+            .kinds
+            .iter()
+            .map(|kind| kind.slow_start_s.from.max(kind.slow_start_s.to))
+            .fold(0.0, f64::max);
+        let cold = plan
+            .kinds
+            .iter()
+            .map(|kind| kind.initial_capacity.from.min(kind.initial_capacity.to))
+            .fold(1.0, f64::min);
         let mut world = Self {
             seed,
             zones: plan.fleet.zones.clone(),
@@ -349,11 +356,11 @@
             classes,
             tenants: tenants.collect(),
             load,
-            same: millis(draw(rng, plan.network.same_ms)),
-            cross: millis(draw(rng, plan.network.cross_ms)),
+            same: millis(draw(rng, plan.network.intra_zone_ms)),
+            cross: millis(draw(rng, plan.network.cross_zone_ms)),
             jitter: draw(rng, plan.network.jitter),
-            notice: seconds(draw(rng, plan.discovery.notice_s)),
-            silent: seconds(draw(rng, plan.discovery.silent_s)),
+            notice: seconds(draw(rng, plan.discovery.propagation_s)),
+            silent: seconds(draw(rng, plan.discovery.failure_detection_s)),
             rules,
             steps: Vec::new(),
             replicas: plan.registry.replicas as usize,
@@ -402,9 +409,9 @@
                 let mut object = json!({"name": class.name, "on-time-ns": class.aim, "deadline-ns": class.deadline,
                     "importance": class.worth, "late-share": class.late_worth});
                 match class.effect {
-                    Effect::Repeatable => object["effect"] = json!("repeatable"),
-                    Effect::Once => object["effect"] = json!("once"),
-                    Effect::Keyed => {
+                    Idempotency::Idempotent => object["effect"] = json!("repeatable"),
+                    Idempotency::NonIdempotent => object["effect"] = json!("once"),
+                    Idempotency::Keyed => {
                         object["effect"] = json!("by_key");
                         object["key-scope"] = json!("cell");
                         object["window-ns"] = json!(class.window);
@@ -435,13 +442,13 @@
 
     fn steps_of(&self, fault: &Fault, rng: &mut impl Rng) -> Vec<Step> {
         let at = draw(rng, fault.at_s);
-        let span = fault.for_s.map(|span| draw(rng, span));
+        let span = fault.duration_s.map(|span| draw(rng, span));
         let factor = fault.factor.map_or(0.0, |factor| draw(rng, factor));
-        let step = fault.step_s.map_or(0.0, |step| draw(rng, step));
+        let step = fault.interval_s.map_or(0.0, |step| draw(rng, step));
         let share = fault.share.map(|share| draw(rng, share));
         let zone = fault.zone.as_ref().and_then(|name| self.zones.iter().position(|zone| zone == name));
         let pick = |rng: &mut _, prefix: &str, zones: Vec<u32>| -> Vec<usize> {
-            if let Some(who) = &fault.who {
+            if let Some(who) = &fault.target {
                 let number = who.strip_prefix(prefix).and_then(|number| number.parse().ok());
                 return number.filter(|number| *number < zones.len()).into_iter().collect();
             }
@@ -472,64 +479,67 @@
                 _ => Vec::new(),
             }
         };
-        let targets = match fault.what.picks() {
-            Picks::Nodes => pick(rng, "n", self.nodes.iter().map(|node| node.zone).collect()),
-            Picks::Servers => pick(rng, "s", self.servers.iter().map(|server| server.spec.zone).collect()),
-            Picks::Replicas => pick(rng, "r", vec![u32::MAX; self.replicas]),
+        let targets = match fault.kind.target_kind() {
+            TargetKind::Nodes => pick(rng, "n", self.nodes.iter().map(|node| node.zone).collect()),
+            TargetKind::Servers => {
+                pick(rng, "s", self.servers.iter().map(|server| server.spec.zone).collect())
+            }
+            TargetKind::Replicas => pick(rng, "r", vec![u32::MAX; self.replicas]),
             _ => Vec::new(),
         };
         let replicas = |targets: Vec<usize>, act: &dyn Fn(Option<usize>) -> Act| {
-            if fault.who.as_deref() == Some(LEADER) {
+            if fault.target.as_deref() == Some(LEADER) {
                 one(act(None))
             } else {
                 each(targets, &|at| act(Some(at)))
             }
         };
-        let named = |names: &[&String]| names.iter().position(|name| Some(*name) == fault.who.as_ref());
-        match fault.what {
-            Trouble::KillNode => each(targets, &Act::KillNode),
-            Trouble::PauseNode => each(targets, &Act::PauseNode),
-            Trouble::RestartNode => each(targets, &Act::RestartNode),
-            Trouble::LateNode => each(targets, &Act::LateNode),
-            Trouble::KillServer => each(targets, &Act::KillServer),
-            Trouble::SlowServer => each(targets, &|s| Act::SlowServer(s, factor)),
-            Trouble::HangServer => each(targets, &Act::HangServer),
-            Trouble::FailServer => each(targets, &|s| Act::FailServer(s, factor)),
-            Trouble::BusyServer => each(targets, &|s| Act::BusyServer(s, factor)),
-            Trouble::ReplaceServer => each(targets, &Act::ReplaceServer),
-            Trouble::LoseZone => {
+        let named = |names: &[&String]| names.iter().position(|name| Some(*name) == fault.target.as_ref());
+        match fault.kind {
+            FaultKind::KillNode => each(targets, &Act::KillNode),
+            FaultKind::PauseNode => each(targets, &Act::PauseNode),
+            FaultKind::RestartNode => each(targets, &Act::RestartNode),
+            FaultKind::LateNode => each(targets, &Act::LateNode),
+            FaultKind::KillServer => each(targets, &Act::KillServer),
+            FaultKind::SlowServer => each(targets, &|s| Act::SlowServer(s, factor)),
+            FaultKind::HangServer => each(targets, &Act::HangServer),
+            FaultKind::FailServer => each(targets, &|s| Act::FailServer(s, factor)),
+            FaultKind::BusyServer => each(targets, &|s| Act::BusyServer(s, factor)),
+            FaultKind::ReplaceServer => each(targets, &Act::ReplaceServer),
+            FaultKind::LoseZone => {
                 let zone = named(&self.zones.iter().collect::<Vec<_>>());
                 zone.map_or(Vec::new(), |zone| one(Act::LoseZone(zone as u32, fault.cold)))
             }
-            Trouble::CutLink => link(LinkTrouble::Cut),
-            Trouble::DelayLink => link(LinkTrouble::Delay(millis(factor))),
-            Trouble::ThrottleLink => link(LinkTrouble::Throttle(factor * 1000.0)),
-            Trouble::ResetLink => link(LinkTrouble::Reset(factor)),
-            Trouble::LateDiscovery => one(Act::LateDiscovery(seconds(factor))),
-            Trouble::SilentDiscovery => one(Act::SilentDiscovery),
-            Trouble::BusyDiscovery => one(Act::BusyDiscovery(factor)),
-            Trouble::RubbishDiscovery => one(Act::RubbishDiscovery),
-            Trouble::MoveDiscovery => one(Act::MoveDiscovery),
-            Trouble::KillReplica => replicas(targets, &Act::KillReplica),
-            Trouble::PauseReplica => replicas(targets, &Act::PauseReplica),
-            Trouble::LoseReplica => replicas(targets, &Act::LoseReplica),
-            Trouble::OrderZone => {
+            FaultKind::CutLink => link(LinkTrouble::Cut),
+            FaultKind::DelayLink => link(LinkTrouble::Delay(millis(factor))),
+            FaultKind::ThrottleLink => link(LinkTrouble::Throttle(factor * 1000.0)),
+            FaultKind::ResetLink => link(LinkTrouble::Reset(factor)),
+            FaultKind::LateDiscovery => one(Act::LateDiscovery(seconds(factor))),
+            FaultKind::SilentDiscovery => one(Act::SilentDiscovery),
+            FaultKind::BusyDiscovery => one(Act::BusyDiscovery(factor)),
+            FaultKind::RubbishDiscovery => one(Act::RubbishDiscovery),
+            FaultKind::MoveDiscovery => one(Act::MoveDiscovery),
+            FaultKind::KillReplica => replicas(targets, &Act::KillReplica),
+            FaultKind::PauseReplica => replicas(targets, &Act::PauseReplica),
+            FaultKind::LoseReplica => replicas(targets, &Act::LoseReplica),
+            FaultKind::OrderZone => {
                 let zone = named(&self.zones.iter().collect::<Vec<_>>());
                 zone.map_or(Vec::new(), |zone| one(Act::OrderZone(zone as u32, factor)))
             }
-            Trouble::Burst => one(Act::Burst(factor)),
-            Trouble::FloodTenant => {
+            FaultKind::Burst => one(Act::Burst(factor)),
+            FaultKind::FloodTenant => {
                 let tenant = named(&self.tenants.iter().map(|tenant| &tenant.name).collect::<Vec<_>>());
                 tenant.map_or(Vec::new(), |tenant| one(Act::FloodTenant(tenant, factor)))
             }
-            Trouble::RudeClients => one(Act::RudeClients(factor)),
+            FaultKind::RudeClients => one(Act::RudeClients(factor)),
         }
     }
 }
 
-fn draw_servers(plan: &Plan, rules: &RuleInfo, mean_work: f64, rng: &mut impl Rng) -> Vec<ServerInfo> {
+fn draw_servers(plan: &Scenario, rules: &RuleInfo, mean_work: f64, rng: &mut impl Rng) -> Vec<ServerInfo> {
     let zones = plan.fleet.zones.len();
-    let sizes = if plan.fleet.sizes.is_empty() { vec![1.0; zones] } else { plan.fleet.sizes.clone() };
+    let sizes =
+        if plan.fleet.zone_weights.is_empty() { vec![1.0; zones] } else { plan.fleet.zone_weights.clone() };
     // One for each zone, whatever its size, and the rest by size.
     let mut counts = deal(plan.fleet.servers as usize - zones, &sizes);
     counts.iter_mut().for_each(|count| *count += 1);
@@ -539,24 +549,24 @@
         kinds.extend(std::iter::repeat_n(kind, count));
     }
     kinds.shuffle(rng);
-    let group = draw(rng, plan.fleet.group).round().max(1.0) as usize;
-    let choke = plan.fleet.chokes.then(|| Choke {
-        at: Range::of(7.0, 4.0).at(rng.random()),
-        over: seconds(Range::of(2.5, 1.5).at(rng.random())),
-        slower: Range::of(2.0, 3.5).at(rng.random()),
-        below: Range::of(0.4, 0.25).at(rng.random()),
-        rest: seconds(Range::of(2.1, 4.7).at(rng.random())),
-        most: seconds(Range::of(16.0, 31.0).at(rng.random())),
+    let group = draw(rng, plan.fleet.group_size).round().max(1.0) as usize;
+    let choke = plan.fleet.congestion.then(|| Choke {
+        at: Range::new(7.0, 4.0).interpolate(rng.random()),
+        over: seconds(Range::new(2.5, 1.5).interpolate(rng.random())),
+        slower: Range::new(2.0, 3.5).interpolate(rng.random()),
+        below: Range::new(0.4, 0.25).interpolate(rng.random()),
+        rest: seconds(Range::new(2.1, 4.7).interpolate(rng.random())),
+        most: seconds(Range::new(16.0, 31.0).interpolate(rng.random())),
     });
-    let reporting = plan.fleet.reports.then(|| Reporting {
-        period: millis(Range::of(8.0, 91.0).at(rng.random())),
-        delay: millis(Range::of(1.6, 28.0).at(rng.random())),
-        noise: Range::of(0.03, 0.2).at(rng.random()),
+    let reporting = plan.fleet.load_reports.then(|| Reporting {
+        period: millis(Range::new(8.0, 91.0).interpolate(rng.random())),
+        delay: millis(Range::new(1.6, 28.0).interpolate(rng.random())),
+        noise: Range::new(0.03, 0.2).interpolate(rng.random()),
     });
     let cancel = if rng.random::<bool>() { CancelRule::Waiting } else { CancelRule::Nothing };
     let drops_expired = rng.random::<bool>();
-    let handshake = Range::of(730_000.0, 2_300_000.0).at(rng.random());
-    let full_tax = Range::of(0.03, 0.15).at(rng.random());
+    let handshake = Range::new(730_000.0, 2_300_000.0).interpolate(rng.random());
+    let full_tax = Range::new(0.03, 0.15).interpolate(rng.random());
     // Servers of all zones take turns, so that a server's number tells nothing of its zone.
     let mut turns: Vec<u32> = Vec::new();
     for (zone, count) in counts.into_iter().enumerate() {
@@ -576,16 +586,16 @@
             kind: kind_at as u32,
             cores,
             speed,
-            slots: (draw(rng, kind.slots) * cores).round().max(1.0) as usize,
-            room: (draw(rng, kind.room) * cores).round() as usize,
+            slots: (draw(rng, kind.concurrency) * cores).round().max(1.0) as usize,
+            room: (draw(rng, kind.queue_capacity) * cores).round() as usize,
             thrash: draw(rng, kind.thrash),
             thrash_at: draw(rng, kind.thrash_at),
-            cold_from: draw(rng, kind.cold_from),
-            warm_after: seconds(draw(rng, kind.cold_s)),
+            cold_from: draw(rng, kind.initial_capacity),
+            warm_after: seconds(draw(rng, kind.slow_start_s)),
             error_rate: kind.error_rate,
             cancel,
             drops_expired,
-            connections: (Range::of(600.0, 900.0).at(rng.random()) * cores) as usize,
+            connections: (Range::new(600.0, 900.0).interpolate(rng.random()) * cores) as usize,
             handshake,
             full_tax,
             choke,
@@ -599,20 +609,20 @@
     servers.collect()
 }
 
-fn draw_classes(plan: &Plan, rng: &mut impl Rng) -> Vec<ClassInfo> {
+fn draw_classes(plan: &Scenario, rng: &mut impl Rng) -> Vec<ClassInfo> {
     let all: f64 = plan.classes.iter().map(|class| class.share).sum();
     let made = plan.classes.iter().map(|class| ClassInfo {
         name: class.name.clone(),
         share: class.share / all,
         work: millis(draw(rng, class.work_ms)) as f64,
-        wait: millis(draw(rng, class.wait_ms)),
+        wait: millis(draw(rng, class.io_wait_ms)),
         cv: draw(rng, class.cv),
-        aim: millis(class.aim_ms),
+        aim: millis(class.latency_target_ms),
         deadline: millis(class.deadline_ms),
-        worth: class.worth,
-        late_worth: class.late_worth,
-        effect: class.effect,
-        window: millis(class.window_ms),
+        worth: class.value,
+        late_worth: class.late_value_share,
+        effect: class.idempotency,
+        window: millis(class.dedup_window_ms),
     });
     made.collect()
 }
--- a/model/tests/ledger.rs
+++ b/model/tests/ledger.rs
@@ -1,12 +1,12 @@
 //! Each rule of the book, kept and broken.
 
 use flaxdale_model::ledger::*;
-use flaxdale_model::plan::Effect;
+use flaxdale_model::plan::Idempotency;
 use flaxdale_model::world::{MS, SECOND};
 
 const LIMITS: Limits = Limits { answer_slack: 20 * MS, drain_grace: 500 * MS, observers: 10 * MS };
 
-fn ledger(effect: Effect) -> Ledger {
+fn ledger(effect: Idempotency) -> Ledger {
     let mut ledger = Ledger::new(LIMITS, 0);
     ledger.asked(1, effect, SECOND, SECOND, 0);
     ledger
@@ -24,7 +24,7 @@
 
 #[test]
 fn a_request_served_in_time_breaks_nothing_and_is_forgotten() {
-    let mut ledger = ledger(Effect::Once);
+    let mut ledger = ledger(Idempotency::NonIdempotent);
     let attempt = ledger.arrived(1, 7, 0, None, 10 * MS).expect("known");
     ledger.ended(1, attempt, true, 50 * MS);
     ledger.answered(1, Answer::Served, 50 * MS);
@@ -35,19 +35,19 @@
 
 #[test]
 fn no_answer_or_a_late_one_is_no_final_outcome_in_time() {
-    let mut lost = ledger(Effect::Repeatable);
+    let mut lost = ledger(Idempotency::Idempotent);
     lost.close(1, 2 * SECOND);
     assert_eq!(broken(&lost), only(Rule::OneOutcome));
     for (at, expected) in [(SECOND + 20 * MS, vec![]), (SECOND + 21 * MS, only(Rule::OneOutcome))] {
-        let mut late = ledger(Effect::Repeatable);
+        let mut late = ledger(Idempotency::Idempotent);
         late.answered(1, Answer::Failed, at);
         assert_eq!(broken(&late), expected, "{at}");
     }
-    let mut twice = ledger(Effect::Repeatable);
+    let mut twice = ledger(Idempotency::Idempotent);
     twice.answered(1, Answer::Failed, SECOND);
     twice.answered(1, Answer::Served, SECOND);
     assert_eq!(broken(&twice), only(Rule::OneOutcome));
-    let mut excused = ledger(Effect::Repeatable);
+    let mut excused = ledger(Idempotency::Idempotent);
     excused.excuse(1);
     excused.close(1, 2 * SECOND);
     assert_eq!(broken(&excused), []);
@@ -56,13 +56,13 @@
 #[test]
 fn what_must_run_once_goes_on_only_if_it_surely_never_ran() {
     for (ran, expected) in [(false, vec![]), (true, only(Rule::RunsOnce))] {
-        let mut ledger = ledger(Effect::Once);
+        let mut ledger = ledger(Idempotency::NonIdempotent);
         let first = ledger.arrived(1, 7, 0, None, 0).expect("known");
         ledger.ended(1, first, ran, 10 * MS);
         ledger.arrived(1, 8, 0, None, 20 * MS);
         assert_eq!(broken(&ledger), expected, "{ran}");
     }
-    let mut refused = ledger(Effect::Once);
+    let mut refused = ledger(Idempotency::NonIdempotent);
     let first = refused.arrived(1, 7, 0, None, 0).expect("known");
     refused.ended(1, first, true, 10 * MS);
     refused.answered(1, Answer::Refused, 10 * MS);
@@ -76,7 +76,7 @@
         (4, 500 * MS, only(Rule::KeyedInGroup)),
         (3, SECOND + 11 * MS, only(Rule::KeyedInGroup)),
     ] {
-        let mut ledger = ledger(Effect::Keyed);
+        let mut ledger = ledger(Idempotency::Keyed);
         let first = ledger.arrived(1, 7, 3, None, 0).expect("known");
         ledger.ended(1, first, true, 10 * MS);
         ledger.arrived(1, 8, cell, None, at);
@@ -87,7 +87,7 @@
 #[test]
 fn two_attempts_of_one_request_are_never_out_together() {
     for (ended, expected) in [(25 * MS, vec![]), (31 * MS, only(Rule::NeverTwoOut))] {
-        let mut ledger = ledger(Effect::Repeatable);
+        let mut ledger = ledger(Idempotency::Idempotent);
         let first = ledger.arrived(1, 7, 0, None, 0).expect("known");
         ledger.arrived(1, 8, 0, None, 20 * MS);
         ledger.ended(1, first, true, ended);
@@ -98,7 +98,7 @@
 #[test]
 fn nothing_new_goes_to_a_draining_server_after_the_grace() {
     for (at, expected) in [(509 * MS, vec![]), (511 * MS, only(Rule::DrainKept))] {
-        let mut ledger = ledger(Effect::Repeatable);
+        let mut ledger = ledger(Idempotency::Idempotent);
         ledger.arrived(1, 7, 0, Some(0), at);
         assert_eq!(broken(&ledger), expected, "{at}");
     }
@@ -106,7 +106,7 @@
 
 #[test]
 fn an_id_that_nobody_sent_and_a_cold_server_pushed_over_are_told_with_their_names() {
-    let mut ledger = ledger(Effect::Repeatable);
+    let mut ledger = ledger(Idempotency::Idempotent);
     assert_eq!(ledger.arrived(0xbeef, 7, 0, None, 5 * MS), None);
     ledger.fell("s3", true, 6 * MS);
     let told = |rule: Rule| ledger.invariants()[rule as usize].breaches[0].clone();
@@ -116,9 +116,9 @@
 
 #[test]
 fn books_add_up_and_keep_a_bound_of_breaches() {
-    let mut whole = ledger(Effect::Repeatable);
+    let mut whole = ledger(Idempotency::Idempotent);
     for _ in 0..100 {
-        let mut part = ledger(Effect::Repeatable);
+        let mut part = ledger(Idempotency::Idempotent);
         part.close(1, 2 * SECOND);
         whole.merge(&part);
     }
--- a/model/tests/wayward.rs
+++ b/model/tests/wayward.rs
@@ -2,7 +2,7 @@
 
 use brookfield::{Action, BackendId, Event, Member, Nanos, Stage};
 use flaxdale_model::module::{Module, Own};
-use flaxdale_model::plan::{Fault, Plan, Range, Trouble};
+use flaxdale_model::plan::{Fault, FaultKind, Range, Scenario};
 use flaxdale_model::run::{Options, play_with};
 use flaxdale_model::world::SECOND;
 use serde_json::Value;
@@ -57,10 +57,10 @@
 /// The rules that nodes break which are bent in this way.
 fn broken(bend: Bend) -> Vec<String> {
     let replaced =
-        Fault { who: Some("s0".to_owned()), ..Fault::new(Trouble::ReplaceServer, Range::only(3.0)) };
-    let mut plan = Plan { faults: vec![replaced], ..Plan::default() };
+        Fault { target: Some("s0".to_owned()), ..Fault::new(FaultKind::ReplaceServer, Range::fixed(3.0)) };
+    let mut plan = Scenario { faults: vec![replaced], ..Scenario::default() };
     plan.fleet.zones.truncate(1);
-    plan.check().expect("a plan that makes sense");
+    plan.validate().expect("a plan that makes sense");
     let options = Options { span: 10 * SECOND, tick: 0, threads: 1 };
     let wayward = move |_| {
         let module: Box<dyn Module> =
--- a/rig/src/callers.rs
+++ b/rig/src/callers.rs
@@ -11,7 +11,7 @@
 use flaxdale_model::clients::{self, Ask, Clients, Seen};
 use flaxdale_model::ledger::{Answer, wire_id};
 use flaxdale_model::measure::Fate;
-use flaxdale_model::plan::Effect;
+use flaxdale_model::plan::Idempotency;
 use flaxdale_model::world::{MS, SECOND, stream};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::client::conn::http1::{SendRequest, handshake};
@@ -192,7 +192,7 @@
         {
             let mut book = lock(&shared.book);
             book.ledger.asked(id, class.effect, class.window, not_after, now);
-            let key = (class.effect == Effect::Keyed).then_some((ask.number, class.window));
+            let key = (class.effect == Idempotency::Keyed).then_some((ask.number, class.window));
             book.known.insert(id, Known { node, work: ask.work, wait: ask.wait, not_after, key });
         }
         let left = Duration::from_nanos((not_after + ANSWER_SLACK).saturating_sub(now));
@@ -284,7 +284,7 @@
         let world = &self.shared.world;
         let class = &world.classes[ask.class];
         let left = not_after.saturating_sub(self.shared.clock.now()) / MS;
-        let method = if class.effect == Effect::Repeatable { Method::GET } else { Method::POST };
+        let method = if class.effect == Idempotency::Idempotent { Method::GET } else { Method::POST };
         let mut request = Request::builder()
             .method(method)
             .uri("/api")
@@ -295,11 +295,12 @@
         if let Some(tenant) = ask.tenant {
             request = request.header("x-caller", &world.tenants[tenant].name);
         }
-        if class.effect == Effect::Keyed {
+        if class.effect == Idempotency::Keyed {
             // One key for all tries of a client's request.
             request = request.header("idempotency-key", format!("{:032x}", ask.number));
         }
-        let body = if class.effect == Effect::Repeatable { Bytes::new() } else { Bytes::from_static(b"{}") };
+        let body =
+            if class.effect == Idempotency::Idempotent { Bytes::new() } else { Bytes::from_static(b"{}") };
         request.body(Full::new(body)).ok()
     }
 
--- a/rig/src/experiment.rs
+++ b/rig/src/experiment.rs
@@ -5,8 +5,8 @@
 
 use flaxdale_fleet::file::{self, FileError};
 use flaxdale_model::plan::{
-    Class, Discovery, Fault, Fleet, Kind, Load, MOST_SECONDS, Network, Picks, Plan, Problem, Registry, Rules,
-    Tenant, Trouble,
+    Class, Discovery, Fault, FaultKind, Fleet, Kind, Load, MAX_RUN_SECONDS, Network, Registry, Rules,
+    Scenario, TargetKind, Tenant, ValidationError,
 };
 use serde::{Deserialize, Serialize};
 
@@ -101,13 +101,15 @@
     /// Reads and checks a file.
     pub fn read(file: &Path) -> Result<Self, FileError> {
         file::read(file, |experiment: &Self| {
-            experiment.check().map_err(|Problem { key, text }| file::ValidationError { key, text })
+            experiment
+                .check()
+                .map_err(|ValidationError { key, message: text }| file::ValidationError { key, text })
         })
     }
 
     /// What is played.
-    pub fn plan(&self) -> Plan {
-        Plan {
+    pub fn plan(&self) -> Scenario {
+        Scenario {
             fleet: self.fleet.clone(),
             load: self.load.clone(),
             network: self.network.clone(),
@@ -119,7 +121,7 @@
             tenants: self.tenant.clone(),
             faults: self.fault.clone(),
         }
-        .with_usual()
+        .with_defaults()
     }
 
     /// The nodes' log filter.
@@ -130,10 +132,10 @@
     }
 
     /// What makes no sense in it, with the key at fault.
-    pub fn check(&self) -> Result<(), Problem> {
-        let problem = |key: &str, text: String| Err(Problem { key: key.to_owned(), text });
+    pub fn check(&self) -> Result<(), ValidationError> {
+        let problem = |key: &str, text: String| Err(ValidationError { key: key.to_owned(), message: text });
         let run = &self.run;
-        let most = if run.on == On::Sockets { MOST_SOCKET_SECONDS } else { MOST_SECONDS };
+        let most = if run.on == On::Sockets { MOST_SOCKET_SECONDS } else { MAX_RUN_SECONDS };
         if !(0.5..=most).contains(&run.seconds) {
             return problem("run.seconds", format!("0.5 to {most} is wanted"));
         }
@@ -163,29 +165,31 @@
                 let number = end.as_deref().and_then(|end| end.strip_prefix('r'));
                 number.is_some_and(|number| number.parse::<u32>().is_ok())
             };
-            let link = fault.what.picks() == Picks::Link;
+            let link = fault.kind.target_kind() == TargetKind::Link;
             if self.registry.replicas > 0 && link && !of_registry(&fault.from) && !of_registry(&fault.to) {
                 let text =
                     "the registry tells all nodes one address of a server: one end has to be a replica";
                 return problem(&format!("fault[{number}].from"), text.to_owned());
             }
             let stand_in = matches!(
-                fault.what,
-                Trouble::LateDiscovery
-                    | Trouble::SilentDiscovery
-                    | Trouble::BusyDiscovery
-                    | Trouble::RubbishDiscovery
-                    | Trouble::MoveDiscovery
+                fault.kind,
+                FaultKind::LateDiscovery
+                    | FaultKind::SilentDiscovery
+                    | FaultKind::BusyDiscovery
+                    | FaultKind::RubbishDiscovery
+                    | FaultKind::MoveDiscovery
             );
             if self.registry.replicas > 0 && stand_in {
                 let text = "concerns the stand-in of the list service, and this fleet has its own registry";
                 return problem(&format!("fault[{number}].what"), text.to_owned());
             }
-            if run.on == On::Virtual && matches!(fault.what, Trouble::MoveDiscovery | Trouble::RudeClients) {
+            if run.on == On::Virtual
+                && matches!(fault.kind, FaultKind::MoveDiscovery | FaultKind::RudeClients)
+            {
                 let text = "virtual time has neither addresses nor parsers: play it on sockets".to_owned();
                 return problem(&format!("fault[{number}].what"), text);
             }
         }
-        self.plan().check()
+        self.plan().validate()
     }
 }
--- a/rig/src/play.rs
+++ b/rig/src/play.rs
@@ -8,7 +8,7 @@
 
 use flaxdale_model::ledger::Invariant;
 use flaxdale_model::measure::Tally;
-use flaxdale_model::plan::Plan;
+use flaxdale_model::plan::Scenario;
 use flaxdale_model::run::{self, Options};
 use flaxdale_model::world::{World, millis, seconds};
 use serde_json::Value;
@@ -192,7 +192,7 @@
     const SHARES: [f64; 14] =
         [0.0, 0.1, 0.25, 0.5, 0.75, 0.9, 0.95, 0.97, 0.99, 0.995, 0.998, 0.999, 0.9995, 0.9999];
     let delay = |share: f64| (share, tally.served.value_at_quantile(share) as f64 / 1000.0);
-    let plan: Plan = experiment.plan();
+    let plan: Scenario = experiment.plan();
     RunResult {
         format: FORMAT,
         experiment: about.name,
--- a/rig/src/registry.rs
+++ b/rig/src/registry.rs
@@ -163,15 +163,15 @@
         let memory = self.replicas.holds(0).map_or(0, |holds| holds.memory_kib);
         *lock(&self.first) = (self.read().await, memory);
         tokio::spawn(self.registrants.clone().write(self.stop.subscribe()));
-        if !self.plan.crowd.is_empty() {
+        if !self.plan.watcher_steps.is_empty() {
             tokio::spawn(self.clone().come(start, span));
         }
     }
 
     async fn come(self: Arc<Self>, start: Nanos, span: Nanos) {
-        let part = span / self.plan.crowd.len() as u64;
+        let part = span / self.plan.watcher_steps.len() as u64;
         let mut there = 0;
-        for (number, &watches) in (1..).zip(&self.plan.crowd) {
+        for (number, &watches) in (1..).zip(&self.plan.watcher_steps) {
             while there < watches as usize {
                 let more = COME_AT_A_TIME.min(watches as usize - there);
                 (0..more).for_each(|_| self.crowd.add(0));
--- a/rig/src/result.rs
+++ b/rig/src/result.rs
@@ -102,7 +102,7 @@
     /// The faults.
     pub faults: Vec<Played>,
     /// The plan, in full.
-    pub plan: flaxdale_model::plan::Plan,
+    pub plan: flaxdale_model::plan::Scenario,
 }
 
 /// Why a file is no result.
--- a/rig/src/sockets.rs
+++ b/rig/src/sockets.rs
@@ -40,7 +40,7 @@
 /// How often processes are looked at.
 const SAMPLE: Duration = Duration::from_millis(500);
 /// How long the front goes on sending to a dead node.
-const FRONT_NOTICE: Range = Range::of(1.1, 3.9);
+const FRONT_NOTICE: Range = Range::new(1.1, 3.9);
 /// How long connections go on coming to a node that was told to end.
 const STILL_COMES: Duration = Duration::from_millis(300);
 const HUNDREDTH_MS: f64 = 10.0;
@@ -246,7 +246,7 @@
         };
         nodes.push(Arc::new(NodeProcess::new(program.clone(), shared.clone(), number, fleet)));
     }
-    let notice = FRONT_NOTICE.at(stream(shared.world.seed, 12).random());
+    let notice = FRONT_NOTICE.interpolate(stream(shared.world.seed, 12).random());
     let run = Arc::new(Run {
         callers: Callers::new(shared.clone()),
         registry,
