--- a/model/src/clients.rs
+++ b/model/src/clients.rs
@@ -6,7 +6,7 @@
 use rand_distr::{Distribution, Exp1, LogNormal};
 
 use crate::plan::{Idempotency, RetryPolicy};
-use crate::world::{SECOND, World, stream};
+use crate::world::{SECOND, World, rng_stream};
 
 /// Times that a client's wait doubles at most.
 const MOST_DOUBLINGS: u32 = 6;
@@ -89,11 +89,11 @@
             LogNormal::new(-variance / 2.0, variance.sqrt()).ok().filter(|_| cv > 0.0)
         };
         Self {
-            rng: stream(world.seed, number),
+            rng: rng_stream(world.seed, number),
             zone,
             work: world.classes.iter().map(|class| spread(class.cv)).collect(),
             classes: world.classes.iter().map(|class| class.share).collect(),
-            tenants: world.tenants.iter().map(|tenant| tenant.part).collect(),
+            tenants: world.tenants.iter().map(|tenant| tenant.load_share).collect(),
             floods: vec![1.0; world.tenants.len()],
             burst: 1.0,
             next: 0,
@@ -113,11 +113,11 @@
 
     /// Requests a second at a time.
     pub fn rate(&self, world: &World, at: Nanos) -> f64 {
-        let phase = at as f64 / world.load.wave.max(1) as f64 * TURN;
+        let phase = at as f64 / world.load.wave_period.max(1) as f64 * TURN;
         let tenants: f64 = self.tenants.iter().zip(&self.floods).map(|(part, flood)| part * flood).sum();
         let flooded = if self.tenants.is_empty() { 1.0 } else { tenants };
-        let part = self.zone.map_or(1.0, |zone| world.load.zones[zone as usize]);
-        part * world.load.rps * self.burst * flooded * (1.0 + world.load.swing * phase.sin())
+        let part = self.zone.map_or(1.0, |zone| world.load.zone_shares[zone as usize]);
+        part * world.load.rps * self.burst * flooded * (1.0 + world.load.wave_amplitude * phase.sin())
     }
 
     /// The next request. Arrivals are a Poisson process whose rate is that of the last one's time.
@@ -137,12 +137,12 @@
         Ask {
             number,
             at: self.at,
-            zone: self.zone.unwrap_or_else(|| pick(&world.load.zones, self.rng.random()) as u32),
+            zone: self.zone.unwrap_or_else(|| pick(&world.load.zone_shares, self.rng.random()) as u32),
             class,
             tenant,
             work: (info.work * spread).max(1.0),
-            wait: info.wait,
-            heeds: self.rng.random::<f64>() < world.load.heeds,
+            wait: info.io_wait,
+            heeds: self.rng.random::<f64>() < world.load.retry_after_share,
         }
     }
 }
@@ -163,12 +163,12 @@
     let safe = match seen {
         Seen::Served => return None,
         Seen::Refused(_) | Seen::Unreachable => true,
-        Seen::Failed => class.effect == Idempotency::Idempotent,
+        Seen::Failed => class.idempotency == Idempotency::Idempotent,
     };
-    if !safe || tries >= load.retries || load.again == RetryPolicy::Never {
+    if !safe || tries >= load.max_retries || load.retry_policy == RetryPolicy::Never {
         return None;
     }
-    let wait = match load.again {
+    let wait = match load.retry_policy {
         RetryPolicy::Never | RetryPolicy::Immediate => 0,
         RetryPolicy::Backoff => {
             let doubled = load.backoff << tries.min(MOST_DOUBLINGS);
@@ -187,5 +187,5 @@
 pub fn budget(world: &World, ask: &Ask, now: Nanos) -> Nanos {
     let class = &world.classes[ask.class];
     let left = ask.at.saturating_add(class.deadline).saturating_sub(now);
-    left.min((class.deadline as f64 * world.load.try_share) as Nanos)
+    left.min((class.deadline as f64 * world.load.try_timeout_share) as Nanos)
 }
--- a/model/src/measure.rs
+++ b/model/src/measure.rs
@@ -107,11 +107,11 @@
     pub fn end(&mut self, world: &World, ask: &Ask, fate: Fate, now: Nanos) {
         let class = &world.classes[ask.class];
         let took = now.saturating_sub(ask.at);
-        let in_time = fate == Fate::Served && took <= class.aim;
+        let in_time = fate == Fate::Served && took <= class.latency_target;
         let late = fate == Fate::Served && !in_time;
         let earned = match fate {
-            Fate::Served if in_time => class.worth,
-            Fate::Served => class.worth * class.late_worth,
+            Fate::Served if in_time => class.value,
+            Fate::Served => class.value * class.late_value_share,
             _ => 0.0,
         };
         let one = Second {
@@ -120,7 +120,7 @@
             late: late.into(),
             refused: (fate == Fate::Refused).into(),
             failed: matches!(fate, Fate::Failed | Fate::Unreachable).into(),
-            worth: class.worth,
+            worth: class.value,
             earned,
         };
         let at = (ask.at.saturating_sub(self.start) / SECOND) as usize;
--- a/model/src/run.rs
+++ b/model/src/run.rs
@@ -82,14 +82,14 @@
     options: Options,
     mut module: impl FnMut(u32) -> Result<Box<dyn Module>, String>,
 ) -> Result<Played, String> {
-    let world = World::draw(plan, seed);
-    let timeline = Timeline::of(&world, START);
+    let world = World::sample(plan, seed);
+    let timeline = Timeline::new(&world, START);
     let end = START + options.span;
     let longest = world.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
     let stop = end + longest + ANSWER_SLACK + SECOND;
     // No message between zones is faster than this.
     let zones = world.zones.len() as u32;
-    let lookahead = if zones > 1 { world.cross.max(1) } else { stop };
+    let lookahead = if zones > 1 { world.cross_zone_delay.max(1) } else { stop };
     let common = Arc::new(Common { world, timeline, tick: options.tick, end });
     let mut shards = Vec::new();
     for zone in 0..zones {
--- a/model/src/shard/driver.rs
+++ b/model/src/shard/driver.rs
@@ -116,7 +116,8 @@
         let class = &common.world.classes[ask.class];
         // One key for all tries of a client's request; each zone's clients count from 0.
         let key = u64::from(ask.zone) << (64 - ZONE_BITS) | ask.number;
-        let key = (class.effect == Idempotency::Keyed).then_some((Key { cell, key }, class.window));
+        let key =
+            (class.idempotency == Idempotency::Keyed).then_some((Key { cell, key }, class.dedup_window));
         let luck = self.rng.random();
         let id_of_job = job_id(self.zone, id, attempt);
         let job = Job {
@@ -138,7 +139,7 @@
         let mut way = self.way(zone);
         if life.is_none() {
             self.tally.connections += 1;
-            way += (HANDSHAKE_WAYS - 1) * common.world.way(self.zone, zone);
+            way += (HANDSHAKE_WAYS - 1) * common.world.one_way_delay(self.zone, zone);
             if let Some(open) = self.tries.get_mut(id) {
                 open.attempts[attempt].written = false;
             }
@@ -147,12 +148,15 @@
                 self.push(now + CONNECT_TIMEOUT, what);
             }
         }
-        match common.timeline.link(now, (Party::Node(number), self.zone), (Party::Server(place.server), zone))
-        {
-            Some(LinkTrouble::Cut) => return,
-            Some(LinkTrouble::Delay(more)) => way += more,
-            Some(LinkTrouble::Throttle(rate)) => way += passes_in(rate),
-            Some(LinkTrouble::Reset(chance)) => {
+        match common.timeline.link_fault(
+            now,
+            (LinkEnd::Node(number), self.zone),
+            (LinkEnd::Server(place.server), zone),
+        ) {
+            Some(LinkFault::Cut) => return,
+            Some(LinkFault::Delay(more)) => way += more,
+            Some(LinkFault::Throttle(rate)) => way += passes_in(rate),
+            Some(LinkFault::Reset(chance)) => {
                 let breaks = now.saturating_add(self.next_reset(chance));
                 if breaks < give_up {
                     self.push(breaks, What::Broken { id, attempt: attempt as u32 });
--- a/model/src/shard/mod.rs
+++ b/model/src/shard/mod.rs
@@ -29,8 +29,8 @@
 use crate::plan::{Idempotency, Range};
 use crate::server::{Ailment, End, Job, Offer, Server};
 use crate::slab::Slab;
-use crate::timeline::{DISCOVERY, Timeline};
-use crate::world::{Act, LinkTrouble, MS, Party, SECOND, World, stream};
+use crate::timeline::{DISCOVERY_END, Timeline};
+use crate::world::{FaultAction, LinkEnd, LinkFault, MS, SECOND, World, rng_stream};
 
 /// How long past a request's time its final answer may come.
 pub const ANSWER_SLACK: Nanos = 20 * MS;
@@ -257,7 +257,7 @@
             drain_grace: world.rules.drain_grace,
             observers: common.tick,
         };
-        let mut rng = stream(world.seed, 1000 + u64::from(zone));
+        let mut rng = rng_stream(world.seed, 1000 + u64::from(zone));
         let front = crate::world::seconds(FRONT_NOTICE.interpolate(rng.random()));
         let of_zone = |(number, node): (usize, &crate::world::NodeInfo)| {
             (node.zone == zone).then(|| Node {
@@ -275,7 +275,7 @@
             })
         };
         let nodes: Vec<Node> = world.nodes.iter().enumerate().filter_map(of_zone).collect();
-        let share = world.load.zones.get(zone as usize).copied().unwrap_or(0.0);
+        let share = world.load.zone_shares.get(zone as usize).copied().unwrap_or(0.0);
         let mut shard = Self {
             zone,
             now: start,
@@ -307,13 +307,13 @@
                 continue;
             }
             let mut server = Server::new(world.servers[instance.server].spec, start);
-            if instance.starts > 0 {
+            if instance.starts_at > 0 {
                 server.stop(start);
-                shard.push(instance.starts, What::Boots { instance: number as u32 });
+                shard.push(instance.starts_at, What::Boots { instance: number as u32 });
             }
             shard.servers.insert(number as u32, server);
         }
-        for (number, step) in common.timeline.steps.iter().enumerate() {
+        for (number, step) in common.timeline.faults.iter().enumerate() {
             let step_number = number as u32;
             shard.push(step.at, What::Step { step: step_number, begins: true });
             if let Some(until) = step.until {
@@ -321,7 +321,7 @@
             }
         }
         let late = |node: usize| {
-            let first = common.timeline.steps.iter().find(|step| step.act == Act::LateNode(node));
+            let first = common.timeline.faults.iter().find(|step| step.action == FaultAction::LateNode(node));
             first.map_or(start, |step| step.at)
         };
         for node in 0..shard.nodes.len() {
@@ -372,7 +372,7 @@
 
     /// One way between two zones, with its jitter, which never makes it shorter than the span between zones.
     fn way(&mut self, to: u32) -> Nanos {
-        let way = self.common.world.way(self.zone, to);
+        let way = self.common.world.one_way_delay(self.zone, to);
         way + (way as f64 * self.common.world.jitter * self.rng.random::<f64>()) as Nanos
     }
 
@@ -408,7 +408,7 @@
             }
             What::Ordered { node, life } => {
                 if self.awake(node, life, || What::Ordered { node, life }) {
-                    let orders = self.common.timeline.orders(self.now);
+                    let orders = self.common.timeline.zone_overrides(self.now);
                     self.tell(node, Event::ZoneOverrides(orders));
                 }
             }
@@ -442,7 +442,7 @@
             }
             What::Step { step, begins } => self.step(step as usize, begins),
             What::Boots { instance } => {
-                let ends = self.common.timeline.instances[instance as usize].ends;
+                let ends = self.common.timeline.instances[instance as usize].ends_at;
                 let Some(server) = self.servers.get_mut(&instance) else { return };
                 let over = ends.is_some_and(|end| end <= self.now);
                 let held = if over { server.stop(self.now) } else { server.start(self.now, true) };
@@ -483,7 +483,7 @@
         let id =
             self.tries.insert(Try { ask, tries, node, life, not_after, ended: false, told: false, attempts });
         let class = &self.common.world.classes[ask.class];
-        self.ledger.asked(id, class.effect, class.window, not_after, now);
+        self.ledger.asked(id, class.idempotency, class.dedup_window, not_after, now);
         if self.nodes[node as usize].paused {
             self.ledger.excuse(id);
         }
--- a/model/src/shard/processes.rs
+++ b/model/src/shard/processes.rs
@@ -6,7 +6,7 @@
     pub(super) fn start_node(&mut self, node: u32) {
         let common = self.common.clone();
         let number = self.nodes[node as usize].number;
-        let seed = stream(common.world.seed, 10_000 + number as u64).random::<u64>();
+        let seed = rng_stream(common.world.seed, 10_000 + number as u64).random::<u64>();
         let known = &mut self.nodes[node as usize];
         if known.up {
             return;
@@ -23,7 +23,7 @@
             return;
         }
         self.tell(node, Event::Start);
-        let orders = common.timeline.orders(self.now);
+        let orders = common.timeline.zone_overrides(self.now);
         if !orders.is_empty() {
             self.tell(node, Event::ZoneOverrides(orders));
         }
@@ -40,7 +40,7 @@
     /// The list as it was then, how many changes are in it, and who drained or was gone.
     pub(super) fn list_at(&self, then: Nanos) -> (Vec<Member>, usize, HashMap<u32, Nanos>) {
         let timeline = &self.common.timeline;
-        let mut members: Vec<Member> = timeline.first.clone();
+        let mut members: Vec<Member> = timeline.initial_members.clone();
         let cursor = timeline.changes.iter().take_while(|change| change.at <= then).count();
         for change in &timeline.changes[..cursor] {
             match members.iter_mut().find(|member| member.backend == change.member.backend) {
@@ -58,17 +58,17 @@
         let Some(change) = self.common.timeline.changes.get(self.nodes[node as usize].cursor) else { return };
         let spread = self.rng.random_range(0..SECOND / 4);
         let life = self.nodes[node as usize].life;
-        let (_, late) = self.common.timeline.discovery(change.at);
+        let (_, late) = self.common.timeline.discovery_state(change.at);
         self.push(change.at.max(self.now) + late + spread, What::Told { node, life });
     }
 
     pub(super) fn read_list(&mut self, node: u32) {
         let now = self.now;
         let common = self.common.clone();
-        let (silent, late) = common.timeline.discovery(now);
-        let own = (Party::Node(self.nodes[node as usize].number), self.zone);
-        let cut = common.timeline.link(now, DISCOVERY, own) == Some(LinkTrouble::Cut);
-        let turned_away = common.timeline.turned_away(now);
+        let (silent, late) = common.timeline.discovery_state(now);
+        let own = (LinkEnd::Node(self.nodes[node as usize].number), self.zone);
+        let cut = common.timeline.link_fault(now, DISCOVERY_END, own) == Some(LinkFault::Cut);
+        let turned_away = common.timeline.discovery_error_share(now);
         if silent || cut || (turned_away > 0.0 && self.rng.random::<f64>() < turned_away) {
             let life = self.nodes[node as usize].life;
             self.push(now + SECOND / 4, What::Told { node, life });
--- a/model/src/shard/servers.rs
+++ b/model/src/shard/servers.rs
@@ -60,15 +60,15 @@
 
     pub(super) fn answer(&mut self, server: usize, node: u32, to: u32, what: What) {
         let mut way = self.way(to);
-        match self.common.timeline.link(
+        match self.common.timeline.link_fault(
             self.now,
-            (Party::Server(server), self.zone),
-            (Party::Node(node as usize), to),
+            (LinkEnd::Server(server), self.zone),
+            (LinkEnd::Node(node as usize), to),
         ) {
-            Some(LinkTrouble::Cut) => return,
-            Some(LinkTrouble::Delay(more)) => way += more,
-            Some(LinkTrouble::Throttle(rate)) => way += passes_in(rate),
-            Some(LinkTrouble::Reset(_)) | None => {}
+            Some(LinkFault::Cut) => return,
+            Some(LinkFault::Delay(more)) => way += more,
+            Some(LinkFault::Throttle(rate)) => way += passes_in(rate),
+            Some(LinkFault::Reset(_)) | None => {}
         }
         self.send(to, self.now + way, what);
     }
--- a/model/src/shard/troubles.rs
+++ b/model/src/shard/troubles.rs
@@ -6,15 +6,15 @@
 impl Shard {
     pub(super) fn step(&mut self, number: usize, begins: bool) {
         let common = self.common.clone();
-        let step = &common.timeline.steps[number];
+        let step = &common.timeline.faults[number];
         let own =
             |number: usize| self.nodes.iter().position(|node| node.number == number).map(|at| at as u32);
-        match step.act {
-            Act::KillNode(node) => {
+        match step.action {
+            FaultAction::KillNode(node) => {
                 let Some(node) = own(node) else { return };
                 if begins { self.kill_node(node) } else { self.start_node(node) }
             }
-            Act::RestartNode(node) => {
+            FaultAction::RestartNode(node) => {
                 let Some(node) = own(node) else { return };
                 if begins {
                     self.nodes[node as usize].leaving = true;
@@ -24,7 +24,7 @@
                     self.push(back, What::Starts { node });
                 }
             }
-            Act::PauseNode(node) => {
+            FaultAction::PauseNode(node) => {
                 let Some(node) = own(node) else { return };
                 if !self.nodes[node as usize].up {
                     return;
@@ -38,22 +38,22 @@
                     self.happen(What::Resumes { node });
                 }
             }
-            Act::KillServer(server) => self.on_server(server, |shard, instance| {
+            FaultAction::KillServer(server) => self.on_server(server, |shard, instance| {
                 let now = shard.now;
                 let Some(known) = shard.servers.get_mut(&instance) else { return };
                 let held = if begins { known.stop(now) } else { known.start(now, true) };
                 shard.reset(instance, held);
             }),
-            Act::SlowServer(server, factor) => self.ail(server, begins, |a| a.slower = factor),
-            Act::HangServer(server) => self.ail(server, begins, |a| a.hangs = true),
-            Act::FailServer(server, share) => self.ail(server, begins, |a| a.fails = share),
-            Act::BusyServer(server, share) => self.ail(server, begins, |a| a.taken = share),
-            Act::ReplaceServer(server) if begins => self.on_server(server, |shard, instance| {
-                if let Some(end) = shard.common.timeline.instances[instance as usize].ends {
+            FaultAction::SlowServer(server, factor) => self.ail(server, begins, |a| a.slower = factor),
+            FaultAction::HangServer(server) => self.ail(server, begins, |a| a.hangs = true),
+            FaultAction::FailServer(server, share) => self.ail(server, begins, |a| a.fails = share),
+            FaultAction::BusyServer(server, share) => self.ail(server, begins, |a| a.taken = share),
+            FaultAction::ReplaceServer(server) if begins => self.on_server(server, |shard, instance| {
+                if let Some(end) = shard.common.timeline.instances[instance as usize].ends_at {
                     shard.push(end, What::Boots { instance });
                 }
             }),
-            Act::LoseZone(zone, cold) if zone == self.zone => {
+            FaultAction::LoseZone(zone, cold) if zone == self.zone => {
                 self.silent = begins;
                 if !begins && cold {
                     let now = self.now;
@@ -66,7 +66,7 @@
                     }
                 }
             }
-            Act::OrderZone(..) => {
+            FaultAction::OrderZone(..) => {
                 for node in 0..self.nodes.len() as u32 {
                     // A file reaches the machines of a fleet one after the other.
                     let after = self.rng.random_range(0..SECOND);
@@ -74,11 +74,11 @@
                     self.push(self.now + after, What::Ordered { node, life });
                 }
             }
-            Act::Burst(factor) => {
+            FaultAction::Burst(factor) => {
                 let factor = if begins { factor } else { 1.0 };
                 self.clients.iter_mut().for_each(|clients| clients.burst(factor));
             }
-            Act::FloodTenant(tenant, factor) => {
+            FaultAction::FloodTenant(tenant, factor) => {
                 let factor = if begins { factor } else { 1.0 };
                 self.clients.iter_mut().for_each(|clients| clients.flood(tenant, factor));
             }
@@ -89,7 +89,7 @@
     /// The process that is at a place now, if it is in this zone.
     pub(super) fn on_server(&mut self, server: usize, then: impl FnOnce(&mut Self, u32)) {
         let timeline = &self.common.timeline;
-        let here = |i: &Instance| i.zone == self.zone && i.is_at(server, self.now);
+        let here = |i: &Instance| i.zone == self.zone && i.occupies(server, self.now);
         let at = timeline.instances.iter().position(here);
         if let Some(instance) = at {
             then(self, instance as u32);
--- a/model/src/timeline.rs
+++ b/model/src/timeline.rs
@@ -3,7 +3,7 @@
 
 use brookfield::{BackendId, Member, Nanos, Stage, ZoneId, ZoneOverride};
 
-use crate::world::{Act, LinkTrouble, Party, SECOND, Step, World};
+use crate::world::{FaultAction, LinkEnd, LinkFault, SECOND, ScheduledFault, World};
 
 /// A draining server goes this long after it began.
 const DRAINS_FOR: Nanos = 2 * SECOND;
@@ -11,11 +11,11 @@
 const FIRST_BOOT: Nanos = SECOND / 2;
 
 /// The list service as the end of a link: it is in no zone.
-pub const DISCOVERY: (Party, u32) = (Party::Discovery, u32::MAX);
+pub const DISCOVERY_END: (LinkEnd, u32) = (LinkEnd::Discovery, u32::MAX);
 
 /// A replica of the registry as the end of a link: it is in no zone either.
-pub const fn replica(number: usize) -> (Party, u32) {
-    (Party::Replica(number), u32::MAX)
+pub const fn replica_end(number: usize) -> (LinkEnd, u32) {
+    (LinkEnd::Replica(number), u32::MAX)
 }
 
 /// An app server's process: its place, and the number under which the list has it.
@@ -26,21 +26,21 @@
     /// Its zone.
     pub zone: u32,
     /// When it first starts; 0 for one that is up and warm when the run begins.
-    pub starts: Nanos,
+    pub starts_at: Nanos,
     /// When it is replaced.
-    pub ends: Option<Nanos>,
+    pub ends_at: Option<Nanos>,
 }
 
 impl Instance {
     /// Whether it is the process at a server's place at this time.
-    pub fn is_at(&self, server: usize, now: Nanos) -> bool {
-        self.server == server && self.starts <= now && self.ends.is_none_or(|end| now < end)
+    pub fn occupies(&self, server: usize, now: Nanos) -> bool {
+        self.server == server && self.starts_at <= now && self.ends_at.is_none_or(|end| now < end)
     }
 }
 
 /// A change of the list.
 #[derive(Clone, Copy, Debug)]
-pub struct Change {
+pub struct ListChange {
     /// When the list service has it.
     pub at: Nanos,
     /// The line.
@@ -55,32 +55,32 @@
     /// All processes of app servers, by their number.
     pub instances: Vec<Instance>,
     /// The list when the run begins.
-    pub first: Vec<Member>,
+    pub initial_members: Vec<Member>,
     /// What changes on it, in order.
-    pub changes: Vec<Change>,
+    pub changes: Vec<ListChange>,
     /// Faults, with absolute times.
-    pub steps: Vec<Step>,
+    pub faults: Vec<ScheduledFault>,
     /// Whether any of them is on a link.
-    pub links: bool,
+    pub has_link_faults: bool,
 }
 
 impl Timeline {
     /// Looks ahead over a world whose load begins at `start`.
-    pub fn of(world: &World, start: Nanos) -> Self {
-        let steps: Vec<Step> = world
-            .steps
+    pub fn new(world: &World, start: Nanos) -> Self {
+        let steps: Vec<ScheduledFault> = world
+            .faults
             .iter()
-            .map(|step| Step {
+            .map(|step| ScheduledFault {
                 at: start + step.at,
                 until: step.until.map(|until| start + until),
-                act: step.act.clone(),
+                action: step.action.clone(),
             })
             .collect();
         let mut instances: Vec<Instance> = world
             .servers
             .iter()
             .enumerate()
-            .map(|(server, info)| Instance { server, zone: info.spec.zone, starts: 0, ends: None })
+            .map(|(server, info)| Instance { server, zone: info.spec.zone, starts_at: 0, ends_at: None })
             .collect();
         let member = |number: usize, instance: &Instance, stage: Stage, since: Option<Nanos>| {
             let info = &world.servers[instance.server];
@@ -90,57 +90,66 @@
                 kind: info.spec.kind,
                 cell: info.spec.cell,
                 stage,
-                weight: info.size,
+                weight: info.weight,
                 online_since: since,
             }
         };
         let first = instances.iter().enumerate().map(|(n, i)| member(n, i, Stage::InService, None)).collect();
         let mut changes = Vec::new();
-        let mut tell = |at: Nanos, member: Member| changes.push(Change { at, member });
+        let mut tell = |at: Nanos, member: Member| changes.push(ListChange { at, member });
         // The process that is at a place when a step begins.
         let at_place = |instances: &[Instance], server: usize, at: Nanos| {
-            instances.iter().position(|instance| instance.is_at(server, at))
+            instances.iter().position(|instance| instance.occupies(server, at))
         };
         for step in &steps {
-            match step.act {
-                Act::ReplaceServer(server) => {
+            match step.action {
+                FaultAction::ReplaceServer(server) => {
                     let Some(number) = at_place(&instances, server, step.at) else { continue };
                     let (zone, gone) = (instances[number].zone, step.at + DRAINS_FOR);
-                    instances[number].ends = Some(gone);
-                    tell(step.at + world.notice, member(number, &instances[number], Stage::Draining, None));
-                    tell(gone + world.notice, member(number, &instances[number], Stage::Gone, None));
-                    let next = Instance { server, zone, starts: gone, ends: None };
+                    instances[number].ends_at = Some(gone);
+                    tell(
+                        step.at + world.propagation_delay,
+                        member(number, &instances[number], Stage::Draining, None),
+                    );
+                    tell(
+                        gone + world.propagation_delay,
+                        member(number, &instances[number], Stage::Gone, None),
+                    );
+                    let next = Instance { server, zone, starts_at: gone, ends_at: None };
                     instances.push(next);
                     let number = instances.len() - 1;
                     let since = Some(gone);
-                    let told = gone + world.notice.max(FIRST_BOOT);
+                    let told = gone + world.propagation_delay.max(FIRST_BOOT);
                     tell(told, member(number, &next, Stage::InService, since));
                 }
-                Act::KillServer(server) => {
+                FaultAction::KillServer(server) => {
                     let Some(number) = at_place(&instances, server, step.at) else { continue };
                     let instance = instances[number];
                     let back = step.until.unwrap_or(Nanos::MAX);
-                    if step.at.saturating_add(world.notice) < back {
-                        tell(step.at + world.notice, member(number, &instance, Stage::Gone, None));
+                    if step.at.saturating_add(world.propagation_delay) < back {
+                        tell(step.at + world.propagation_delay, member(number, &instance, Stage::Gone, None));
                     }
                     if back != Nanos::MAX {
-                        let told = back + world.notice.max(FIRST_BOOT);
+                        let told = back + world.propagation_delay.max(FIRST_BOOT);
                         tell(told, member(number, &instance, Stage::InService, Some(back)));
                     }
                 }
-                Act::LoseZone(zone, cold) => {
+                FaultAction::LoseZone(zone, cold) => {
                     let back = step.until.unwrap_or(Nanos::MAX);
                     for (number, &instance) in instances.iter().enumerate() {
-                        if instance.zone != zone || instance.ends.is_some_and(|end| end <= step.at) {
+                        if instance.zone != zone || instance.ends_at.is_some_and(|end| end <= step.at) {
                             continue;
                         }
-                        let missed = step.at.saturating_add(world.silent);
+                        let missed = step.at.saturating_add(world.failure_detection_delay);
                         if missed < back {
                             tell(missed, member(number, &instance, Stage::Gone, None));
                         }
                         if back != Nanos::MAX && (cold || missed < back) {
                             let since = cold.then_some(back);
-                            tell(back + world.notice, member(number, &instance, Stage::InService, since));
+                            tell(
+                                back + world.propagation_delay,
+                                member(number, &instance, Stage::InService, since),
+                            );
                         }
                     }
                 }
@@ -148,30 +157,30 @@
             }
         }
         changes.sort_by_key(|change| change.at);
-        let links = steps.iter().any(|step| matches!(step.act, Act::Link(..)));
-        Self { start, instances, first, changes, steps, links }
+        let links = steps.iter().any(|step| matches!(step.action, FaultAction::Link(..)));
+        Self { start, instances, initial_members: first, changes, faults: steps, has_link_faults: links }
     }
 
     /// What the link from one party to another does now; none where it is as always. Of several troubles the cut
     /// decides, and else the first.
-    pub fn link(&self, now: Nanos, from: (Party, u32), to: (Party, u32)) -> Option<LinkTrouble> {
-        if !self.links {
+    pub fn link_fault(&self, now: Nanos, from: (LinkEnd, u32), to: (LinkEnd, u32)) -> Option<LinkFault> {
+        if !self.has_link_faults {
             return None;
         }
-        let matches = |end: Party, party: (Party, u32)| match end {
-            Party::All => true,
-            Party::Zone(zone) => party.1 == zone,
+        let matches = |end: LinkEnd, party: (LinkEnd, u32)| match end {
+            LinkEnd::All => true,
+            LinkEnd::Zone(zone) => party.1 == zone,
             _ => end == party.0,
         };
         let mut found = None;
-        for step in self.steps.iter().filter(|step| step.is_on(now)) {
-            let Act::Link(one, other, one_way, trouble) = step.act else { continue };
+        for step in self.faults.iter().filter(|step| step.is_active(now)) {
+            let FaultAction::Link(one, other, one_way, trouble) = step.action else { continue };
             let forth = matches(one, from) && matches(other, to);
             let back = !one_way && matches(other, from) && matches(one, to);
             // A zone's own parties still reach each other when it is cut off from all.
-            let inside = matches!(one, Party::Zone(_)) && from.1 == to.1 && other == Party::All;
+            let inside = matches!(one, LinkEnd::Zone(_)) && from.1 == to.1 && other == LinkEnd::All;
             if (forth || back) && !inside {
-                if trouble == LinkTrouble::Cut {
+                if trouble == LinkFault::Cut {
                     return Some(trouble);
                 }
                 found = found.or(Some(trouble));
@@ -181,11 +190,11 @@
     }
 
     /// What is ordered of each zone that any order names at all, now.
-    pub fn orders(&self, now: Nanos) -> Vec<ZoneOverride> {
+    pub fn zone_overrides(&self, now: Nanos) -> Vec<ZoneOverride> {
         let mut orders: Vec<ZoneOverride> = Vec::new();
-        for step in &self.steps {
-            let Act::OrderZone(zone, share) = step.act else { continue };
-            let share = if step.is_on(now) { share } else { 1.0 };
+        for step in &self.faults {
+            let FaultAction::OrderZone(zone, share) = step.action else { continue };
+            let share = if step.is_active(now) { share } else { 1.0 };
             match orders.iter_mut().find(|order| order.zone == ZoneId(zone)) {
                 Some(order) => order.traffic_share = order.traffic_share.min(share),
                 None => orders.push(ZoneOverride { zone: ZoneId(zone), region: 0, traffic_share: share }),
@@ -195,21 +204,21 @@
     }
 
     /// The share of calls that the list service turns away now.
-    pub fn turned_away(&self, now: Nanos) -> f64 {
-        let share = |step: &Step| match step.act {
-            Act::BusyDiscovery(share) if step.is_on(now) => share,
+    pub fn discovery_error_share(&self, now: Nanos) -> f64 {
+        let share = |step: &ScheduledFault| match step.action {
+            FaultAction::BusyDiscovery(share) if step.is_active(now) => share,
             _ => 0.0,
         };
-        self.steps.iter().map(share).fold(0.0, f64::max)
+        self.faults.iter().map(share).fold(0.0, f64::max)
     }
 
     /// Whether the list service is silent now, and how much later than usual it tells.
-    pub fn discovery(&self, now: Nanos) -> (bool, Nanos) {
+    pub fn discovery_state(&self, now: Nanos) -> (bool, Nanos) {
         let mut told = (false, 0);
-        for step in self.steps.iter().filter(|step| step.is_on(now)) {
-            match step.act {
-                Act::SilentDiscovery | Act::RubbishDiscovery => told.0 = true,
-                Act::LateDiscovery(late) => told.1 = late.max(told.1),
+        for step in self.faults.iter().filter(|step| step.is_active(now)) {
+            match step.action {
+                FaultAction::SilentDiscovery | FaultAction::RubbishDiscovery => told.0 = true,
+                FaultAction::LateDiscovery(late) => told.1 = late.max(told.1),
                 _ => {}
             }
         }
--- a/model/src/world.rs
+++ b/model/src/world.rs
@@ -26,7 +26,7 @@
 }
 
 /// A stream of random numbers of a world's seed, apart from all its others.
-pub fn stream(seed: u64, number: u64) -> ChaCha12Rng {
+pub fn rng_stream(seed: u64, number: u64) -> ChaCha12Rng {
     let mut rng = ChaCha12Rng::seed_from_u64(seed);
     rng.set_stream(number);
     rng
@@ -47,7 +47,7 @@
     /// What it is.
     pub spec: Spec,
     /// Its size as the list tells it: cores times speed, about.
-    pub size: f64,
+    pub weight: f64,
 }
 
 /// A class with its figures drawn.
@@ -60,21 +60,21 @@
     /// Mean work on a standard core, in nanoseconds.
     pub work: f64,
     /// Waits on others, in nanoseconds.
-    pub wait: Nanos,
+    pub io_wait: Nanos,
     /// Spread of the work.
     pub cv: f64,
     /// Wanted time.
-    pub aim: Nanos,
+    pub latency_target: Nanos,
     /// When a client gives up.
     pub deadline: Nanos,
     /// Worth of one.
-    pub worth: f64,
+    pub value: f64,
     /// Share of it that is left after the aim.
-    pub late_worth: f64,
+    pub late_value_share: f64,
     /// Whether it may be repeated.
-    pub effect: Idempotency,
+    pub idempotency: Idempotency,
     /// How long repeats of a keyed one are dropped.
-    pub window: Nanos,
+    pub dedup_window: Nanos,
 }
 
 /// A tenant with its figures drawn.
@@ -83,7 +83,7 @@
     /// Its name.
     pub name: String,
     /// Its part of the requests, all together 1.
-    pub part: f64,
+    pub load_share: f64,
     /// Requests a second over all nodes within its share.
     pub quota: f64,
 }
@@ -94,26 +94,26 @@
     /// Requests a second, on the mean.
     pub rps: f64,
     /// How far it swings up and down, as a share.
-    pub swing: f64,
+    pub wave_amplitude: f64,
     /// From one crest to the next.
-    pub wave: Nanos,
+    pub wave_period: Nanos,
     /// Part of the requests that come to each zone's nodes, all together 1.
-    pub zones: Vec<f64>,
+    pub zone_shares: Vec<f64>,
     /// When a client comes again.
-    pub again: RetryPolicy,
+    pub retry_policy: RetryPolicy,
     /// How often at most.
-    pub retries: u32,
+    pub max_retries: u32,
     /// First wait before it.
     pub backoff: Nanos,
     /// Share of the clients that heed `Retry-After`.
-    pub heeds: f64,
+    pub retry_after_share: f64,
     /// A try is given up after this share of the deadline.
-    pub try_share: f64,
+    pub try_timeout_share: f64,
 }
 
 /// One end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Party {
+pub enum LinkEnd {
     /// Everybody.
     All,
     /// The list service.
@@ -130,7 +130,7 @@
 
 /// What a fault does to whom.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
+pub enum FaultAction {
     /// See [`Trouble::KillNode`].
     KillNode(usize),
     /// See [`Trouble::PauseNode`].
@@ -154,7 +154,7 @@
     /// See [`Trouble::LoseZone`]; whether it comes back cold.
     LoseZone(u32, bool),
     /// What a link does, from, to, and whether only that way.
-    Link(Party, Party, bool, LinkTrouble),
+    Link(LinkEnd, LinkEnd, bool, LinkFault),
     /// See [`Trouble::LateDiscovery`].
     LateDiscovery(Nanos),
     /// See [`Trouble::SilentDiscovery`].
@@ -183,7 +183,7 @@
 
 /// What a link does.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum LinkTrouble {
+pub enum LinkFault {
     /// Nothing passes.
     Cut,
     /// It takes longer.
@@ -196,18 +196,18 @@
 
 /// A fault, and when.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Step {
+pub struct ScheduledFault {
     /// From the start of the load.
     pub at: Nanos,
     /// Its end; none if it lasts.
     pub until: Option<Nanos>,
     /// What happens.
-    pub act: Act,
+    pub action: FaultAction,
 }
 
-impl Step {
+impl ScheduledFault {
     /// Whether it lasts at this time, on the clock of its own times.
-    pub fn is_on(&self, now: Nanos) -> bool {
+    pub fn is_active(&self, now: Nanos) -> bool {
         self.at <= now && self.until.is_none_or(|until| now < until)
     }
 }
@@ -218,13 +218,13 @@
     /// Nothing new goes to a server so long after the node was told that it drains.
     pub drain_grace: Nanos,
     /// The longest pause that a refusal may advise.
-    pub retry_after: Nanos,
+    pub max_retry_after: Nanos,
     /// Attempts for one request at most.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// A cold server sent more than this multiple of its capacity falls over ...
-    pub fall_multiple: f64,
+    pub overload_factor: f64,
     /// ... counted over any span of this length.
-    pub fall_span: Nanos,
+    pub overload_window: Nanos,
 }
 
 /// A plan with every figure drawn.
@@ -249,31 +249,31 @@
     /// The load.
     pub load: LoadInfo,
     /// One way within a zone.
-    pub same: Nanos,
+    pub intra_zone_delay: Nanos,
     /// One way between zones.
-    pub cross: Nanos,
+    pub cross_zone_delay: Nanos,
     /// Relative spread of each delay.
     pub jitter: f64,
     /// A change reaches the nodes so much later.
-    pub notice: Nanos,
+    pub propagation_delay: Nanos,
     /// A server that has fallen silent is missed so much later.
-    pub silent: Nanos,
+    pub failure_detection_delay: Nanos,
     /// The figures of the rules.
     pub rules: RuleInfo,
     /// What goes wrong, in the order of its beginning.
-    pub steps: Vec<Step>,
+    pub faults: Vec<ScheduledFault>,
     /// Share of its capacity that any server starts with at least.
-    pub cold_from: f64,
+    pub initial_capacity: f64,
     /// The time by which any server is warm.
-    pub warm_after: Nanos,
+    pub slow_start_window: Nanos,
 }
 
-fn draw(rng: &mut impl Rng, range: Range) -> f64 {
+fn sample_range(rng: &mut impl Rng, range: Range) -> f64 {
     range.interpolate(rng.random::<f64>())
 }
 
 /// Deals whole numbers out by shares, so that they add up.
-fn deal(total: usize, shares: &[f64]) -> Vec<usize> {
+fn apportion(total: usize, shares: &[f64]) -> Vec<usize> {
     let sum: f64 = shares.iter().sum();
     let (mut dealt, mut due) = (0, 0.0);
     shares
@@ -289,27 +289,27 @@
 
 impl World {
     /// Draws a checked plan's figures.
-    pub fn draw(plan: &Scenario, seed: u64) -> Self {
+    pub fn sample(plan: &Scenario, seed: u64) -> Self {
         let plan = &plan.clone().with_defaults();
         let rules = RuleInfo {
             drain_grace: millis(plan.rules.drain_grace_ms),
-            retry_after: millis(plan.rules.max_retry_after_ms),
-            attempts: plan.rules.max_attempts,
-            fall_multiple: plan.rules.overload_factor,
-            fall_span: millis(plan.rules.overload_window_ms),
+            max_retry_after: millis(plan.rules.max_retry_after_ms),
+            max_attempts: plan.rules.max_attempts,
+            overload_factor: plan.rules.overload_factor,
+            overload_window: millis(plan.rules.overload_window_ms),
         };
         let zones = plan.fleet.zones.len();
         let nodes: Vec<NodeInfo> = (0..plan.fleet.nodes)
             .map(|n| NodeInfo { name: format!("n{n}"), zone: n % zones as u32 })
             .collect();
-        let classes = draw_classes(plan, &mut stream(seed, 2));
+        let classes = sample_classes(plan, &mut rng_stream(seed, 2));
         let work: f64 = classes.iter().map(|class| class.share * class.work).sum();
-        let servers = draw_servers(plan, &rules, work, &mut stream(seed, 1));
+        let servers = sample_servers(plan, &rules, work, &mut rng_stream(seed, 1));
         let capacity: f64 = servers.iter().map(|s| s.spec.cores * s.spec.speed).sum();
         // Requests a second that the servers can do, if none of them is ever idle.
         let most = capacity * SECOND as f64 / work.max(1.0);
-        let rng = &mut stream(seed, 3);
-        let skew = draw(rng, plan.load.zone_skew);
+        let rng = &mut rng_stream(seed, 3);
+        let skew = sample_range(rng, plan.load.zone_skew);
         let mut parts: Vec<f64> = (0..zones).map(|zone| if zone == 0 { 1.0 + skew } else { 1.0 }).collect();
         // Requests come to nodes: a zone without one gets none.
         for (zone, part) in parts.iter_mut().enumerate() {
@@ -320,23 +320,23 @@
         let sum: f64 = parts.iter().sum();
         let load = LoadInfo {
             rps: plan.load.rps.unwrap_or(most * plan.load.utilisation),
-            swing: draw(rng, plan.load.wave_amplitude),
-            wave: seconds(draw(rng, plan.load.wave_period_s)),
-            zones: parts.iter().map(|part| part / sum).collect(),
-            again: plan.load.retry_policy,
-            retries: plan.load.max_retries,
-            backoff: millis(draw(rng, plan.load.backoff_ms)),
-            heeds: draw(rng, plan.load.retry_after_share),
-            try_share: draw(rng, plan.load.try_timeout_share),
+            wave_amplitude: sample_range(rng, plan.load.wave_amplitude),
+            wave_period: seconds(sample_range(rng, plan.load.wave_period_s)),
+            zone_shares: parts.iter().map(|part| part / sum).collect(),
+            retry_policy: plan.load.retry_policy,
+            max_retries: plan.load.max_retries,
+            backoff: millis(sample_range(rng, plan.load.backoff_ms)),
+            retry_after_share: sample_range(rng, plan.load.retry_after_share),
+            try_timeout_share: sample_range(rng, plan.load.try_timeout_share),
         };
-        let usage: Vec<f64> = plan.tenants.iter().map(|t| t.share * draw(rng, t.usage)).collect();
+        let usage: Vec<f64> = plan.tenants.iter().map(|t| t.share * sample_range(rng, t.usage)).collect();
         let all = usage.iter().sum::<f64>().max(1e-9);
         let tenants = plan.tenants.iter().zip(&usage).map(|(tenant, usage)| TenantInfo {
             name: tenant.name.clone(),
-            part: usage / all,
+            load_share: usage / all,
             quota: tenant.share * most,
         });
-        let rng = &mut stream(seed, 4);
+        let rng = &mut rng_stream(seed, 4);
         let warm = plan
             .kinds
             .iter()
@@ -356,48 +356,48 @@
             classes,
             tenants: tenants.collect(),
             load,
-            same: millis(draw(rng, plan.network.intra_zone_ms)),
-            cross: millis(draw(rng, plan.network.cross_zone_ms)),
-            jitter: draw(rng, plan.network.jitter),
-            notice: seconds(draw(rng, plan.discovery.propagation_s)),
-            silent: seconds(draw(rng, plan.discovery.failure_detection_s)),
+            intra_zone_delay: millis(sample_range(rng, plan.network.intra_zone_ms)),
+            cross_zone_delay: millis(sample_range(rng, plan.network.cross_zone_ms)),
+            jitter: sample_range(rng, plan.network.jitter),
+            propagation_delay: seconds(sample_range(rng, plan.discovery.propagation_s)),
+            failure_detection_delay: seconds(sample_range(rng, plan.discovery.failure_detection_s)),
             rules,
-            steps: Vec::new(),
+            faults: Vec::new(),
             replicas: plan.registry.replicas as usize,
-            cold_from: cold,
-            warm_after: seconds(warm),
+            initial_capacity: cold,
+            slow_start_window: seconds(warm),
         };
         for (n, fault) in (0..).zip(&plan.faults) {
-            let steps = world.steps_of(fault, &mut stream(seed, 100 + n));
-            world.steps.extend(steps);
+            let steps = world.schedule_fault(fault, &mut rng_stream(seed, 100 + n));
+            world.faults.extend(steps);
         }
-        world.steps.sort_by_key(|step| step.at);
+        world.faults.sort_by_key(|step| step.at);
         world
     }
 
     /// One way between two zones, before jitter.
-    pub fn way(&self, from: u32, to: u32) -> Nanos {
-        if from == to { self.same } else { self.cross }
+    pub fn one_way_delay(&self, from: u32, to: u32) -> Nanos {
+        if from == to { self.intra_zone_delay } else { self.cross_zone_delay }
     }
 
     /// A party by the name that a plan gives it.
-    pub fn party(&self, name: &str) -> Option<Party> {
+    pub fn link_end(&self, name: &str) -> Option<LinkEnd> {
         let number = |prefix: &str| name.strip_prefix(prefix).and_then(|number| number.parse::<usize>().ok());
         match name {
-            "*" => return Some(Party::All),
-            "discovery" => return Some(Party::Discovery),
+            "*" => return Some(LinkEnd::All),
+            "discovery" => return Some(LinkEnd::Discovery),
             _ => {}
         }
         if let Some(zone) = self.zones.iter().position(|zone| zone == name) {
-            return Some(Party::Zone(zone as u32));
+            return Some(LinkEnd::Zone(zone as u32));
         }
         if let Some(node) = number("n").filter(|node| *node < self.nodes.len()) {
-            return Some(Party::Node(node));
+            return Some(LinkEnd::Node(node));
         }
         if let Some(replica) = number("r").filter(|replica| *replica < self.replicas) {
-            return Some(Party::Replica(replica));
+            return Some(LinkEnd::Replica(replica));
         }
-        number("s").filter(|server| *server < self.servers.len()).map(Party::Server)
+        number("s").filter(|server| *server < self.servers.len()).map(LinkEnd::Server)
     }
 
     /// The settings object of a node in this zone, in the operators' words and units.
@@ -406,15 +406,15 @@
             .classes
             .iter()
             .map(|class| {
-                let mut object = json!({"name": class.name, "on-time-ns": class.aim, "deadline-ns": class.deadline,
-                    "importance": class.worth, "late-share": class.late_worth});
-                match class.effect {
+                let mut object = json!({"name": class.name, "on-time-ns": class.latency_target, "deadline-ns": class.deadline,
+                    "importance": class.value, "late-share": class.late_value_share});
+                match class.idempotency {
                     Idempotency::Idempotent => object["effect"] = json!("repeatable"),
                     Idempotency::NonIdempotent => object["effect"] = json!("once"),
                     Idempotency::Keyed => {
                         object["effect"] = json!("by_key");
                         object["key-scope"] = json!("cell");
-                        object["window-ns"] = json!(class.window);
+                        object["window-ns"] = json!(class.dedup_window);
                     }
                 }
                 object
@@ -424,14 +424,14 @@
             "az": self.zones[zone as usize], "zones": self.zones, "kinds": self.kinds,
             "n-instances": self.nodes.len(), "discovery": "pushed", "weights": "nominal", "classes": classes,
             "over-share-worth": 0.2, "worth-by": "request", "quantum-ns": 5 * MS,
-            "policy-limits": {"attempts-cap": self.rules.attempts, "second-copies": false, "probes": false,
-                "may-cancel": true, "max-retry-after-ns": self.rules.retry_after,
+            "policy-limits": {"attempts-cap": self.rules.max_attempts, "second-copies": false, "probes": false,
+                "may-cancel": true, "max-retry-after-ns": self.rules.max_retry_after,
                 "conn-idle-ns": 15 * SECOND, "connect-timeout-ns": 200 * MS},
             "goal": {"worst-class": 0.05},
             "callers": {"marks-retry": false},
             "rules": {"answer-slack-ns": 20 * MS, "drain-grace-ns": self.rules.drain_grace,
-                "start-capacity": self.cold_from, "warm-after-ns": self.warm_after,
-                "tip-multiple": self.rules.fall_multiple, "fall-ns": self.rules.fall_span},
+                "start-capacity": self.initial_capacity, "warm-after-ns": self.slow_start_window,
+                "tip-multiple": self.rules.overload_factor, "fall-ns": self.rules.overload_window},
         });
         if !self.tenants.is_empty() {
             settings["projects"] =
@@ -440,12 +440,12 @@
         settings
     }
 
-    fn steps_of(&self, fault: &Fault, rng: &mut impl Rng) -> Vec<Step> {
-        let at = draw(rng, fault.at_s);
-        let span = fault.duration_s.map(|span| draw(rng, span));
-        let factor = fault.factor.map_or(0.0, |factor| draw(rng, factor));
-        let step = fault.interval_s.map_or(0.0, |step| draw(rng, step));
-        let share = fault.share.map(|share| draw(rng, share));
+    fn schedule_fault(&self, fault: &Fault, rng: &mut impl Rng) -> Vec<ScheduledFault> {
+        let at = sample_range(rng, fault.at_s);
+        let span = fault.duration_s.map(|span| sample_range(rng, span));
+        let factor = fault.factor.map_or(0.0, |factor| sample_range(rng, factor));
+        let step = fault.interval_s.map_or(0.0, |step| sample_range(rng, step));
+        let share = fault.share.map(|share| sample_range(rng, share));
         let zone = fault.zone.as_ref().and_then(|name| self.zones.iter().position(|zone| zone == name));
         let pick = |rng: &mut _, prefix: &str, zones: Vec<u32>| -> Vec<usize> {
             if let Some(who) = &fault.target {
@@ -462,20 +462,22 @@
             all.truncate(count);
             all
         };
-        let each = |targets: Vec<usize>, act: &dyn Fn(usize) -> Act| -> Vec<Step> {
+        let each = |targets: Vec<usize>, act: &dyn Fn(usize) -> FaultAction| -> Vec<ScheduledFault> {
             let begin = |n: usize| seconds(at + step * n as f64);
-            let made = |(n, target): (usize, usize)| Step {
+            let made = |(n, target): (usize, usize)| ScheduledFault {
                 at: begin(n),
                 until: span.map(|span| begin(n) + seconds(span)),
-                act: act(target),
+                action: act(target),
             };
             targets.into_iter().enumerate().map(made).collect()
         };
-        let one = |act: Act| vec![Step { at: seconds(at), until: span.map(|span| seconds(at + span)), act }];
-        let link = |trouble: LinkTrouble| {
-            let end = |name: &Option<String>| name.as_deref().and_then(|name| self.party(name));
+        let one = |act: FaultAction| {
+            vec![ScheduledFault { at: seconds(at), until: span.map(|span| seconds(at + span)), action: act }]
+        };
+        let link = |trouble: LinkFault| {
+            let end = |name: &Option<String>| name.as_deref().and_then(|name| self.link_end(name));
             match (end(&fault.from), end(&fault.to)) {
-                (Some(from), Some(to)) => one(Act::Link(from, to, fault.one_way, trouble)),
+                (Some(from), Some(to)) => one(FaultAction::Link(from, to, fault.one_way, trouble)),
                 _ => Vec::new(),
             }
         };
@@ -487,7 +489,7 @@
             TargetKind::Replicas => pick(rng, "r", vec![u32::MAX; self.replicas]),
             _ => Vec::new(),
         };
-        let replicas = |targets: Vec<usize>, act: &dyn Fn(Option<usize>) -> Act| {
+        let replicas = |targets: Vec<usize>, act: &dyn Fn(Option<usize>) -> FaultAction| {
             if fault.target.as_deref() == Some(LEADER) {
                 one(act(None))
             } else {
@@ -496,60 +498,60 @@
         };
         let named = |names: &[&String]| names.iter().position(|name| Some(*name) == fault.target.as_ref());
         match fault.kind {
-            FaultKind::KillNode => each(targets, &Act::KillNode),
-            FaultKind::PauseNode => each(targets, &Act::PauseNode),
-            FaultKind::RestartNode => each(targets, &Act::RestartNode),
-            FaultKind::LateNode => each(targets, &Act::LateNode),
-            FaultKind::KillServer => each(targets, &Act::KillServer),
-            FaultKind::SlowServer => each(targets, &|s| Act::SlowServer(s, factor)),
-            FaultKind::HangServer => each(targets, &Act::HangServer),
-            FaultKind::FailServer => each(targets, &|s| Act::FailServer(s, factor)),
-            FaultKind::BusyServer => each(targets, &|s| Act::BusyServer(s, factor)),
-            FaultKind::ReplaceServer => each(targets, &Act::ReplaceServer),
+            FaultKind::KillNode => each(targets, &FaultAction::KillNode),
+            FaultKind::PauseNode => each(targets, &FaultAction::PauseNode),
+            FaultKind::RestartNode => each(targets, &FaultAction::RestartNode),
+            FaultKind::LateNode => each(targets, &FaultAction::LateNode),
+            FaultKind::KillServer => each(targets, &FaultAction::KillServer),
+            FaultKind::SlowServer => each(targets, &|s| FaultAction::SlowServer(s, factor)),
+            FaultKind::HangServer => each(targets, &FaultAction::HangServer),
+            FaultKind::FailServer => each(targets, &|s| FaultAction::FailServer(s, factor)),
+            FaultKind::BusyServer => each(targets, &|s| FaultAction::BusyServer(s, factor)),
+            FaultKind::ReplaceServer => each(targets, &FaultAction::ReplaceServer),
             FaultKind::LoseZone => {
                 let zone = named(&self.zones.iter().collect::<Vec<_>>());
-                zone.map_or(Vec::new(), |zone| one(Act::LoseZone(zone as u32, fault.cold)))
+                zone.map_or(Vec::new(), |zone| one(FaultAction::LoseZone(zone as u32, fault.cold)))
             }
-            FaultKind::CutLink => link(LinkTrouble::Cut),
-            FaultKind::DelayLink => link(LinkTrouble::Delay(millis(factor))),
-            FaultKind::ThrottleLink => link(LinkTrouble::Throttle(factor * 1000.0)),
-            FaultKind::ResetLink => link(LinkTrouble::Reset(factor)),
-            FaultKind::LateDiscovery => one(Act::LateDiscovery(seconds(factor))),
-            FaultKind::SilentDiscovery => one(Act::SilentDiscovery),
-            FaultKind::BusyDiscovery => one(Act::BusyDiscovery(factor)),
-            FaultKind::RubbishDiscovery => one(Act::RubbishDiscovery),
-            FaultKind::MoveDiscovery => one(Act::MoveDiscovery),
-            FaultKind::KillReplica => replicas(targets, &Act::KillReplica),
-            FaultKind::PauseReplica => replicas(targets, &Act::PauseReplica),
-            FaultKind::LoseReplica => replicas(targets, &Act::LoseReplica),
+            FaultKind::CutLink => link(LinkFault::Cut),
+            FaultKind::DelayLink => link(LinkFault::Delay(millis(factor))),
+            FaultKind::ThrottleLink => link(LinkFault::Throttle(factor * 1000.0)),
+            FaultKind::ResetLink => link(LinkFault::Reset(factor)),
+            FaultKind::LateDiscovery => one(FaultAction::LateDiscovery(seconds(factor))),
+            FaultKind::SilentDiscovery => one(FaultAction::SilentDiscovery),
+            FaultKind::BusyDiscovery => one(FaultAction::BusyDiscovery(factor)),
+            FaultKind::RubbishDiscovery => one(FaultAction::RubbishDiscovery),
+            FaultKind::MoveDiscovery => one(FaultAction::MoveDiscovery),
+            FaultKind::KillReplica => replicas(targets, &FaultAction::KillReplica),
+            FaultKind::PauseReplica => replicas(targets, &FaultAction::PauseReplica),
+            FaultKind::LoseReplica => replicas(targets, &FaultAction::LoseReplica),
             FaultKind::OrderZone => {
                 let zone = named(&self.zones.iter().collect::<Vec<_>>());
-                zone.map_or(Vec::new(), |zone| one(Act::OrderZone(zone as u32, factor)))
+                zone.map_or(Vec::new(), |zone| one(FaultAction::OrderZone(zone as u32, factor)))
             }
-            FaultKind::Burst => one(Act::Burst(factor)),
+            FaultKind::Burst => one(FaultAction::Burst(factor)),
             FaultKind::FloodTenant => {
                 let tenant = named(&self.tenants.iter().map(|tenant| &tenant.name).collect::<Vec<_>>());
-                tenant.map_or(Vec::new(), |tenant| one(Act::FloodTenant(tenant, factor)))
+                tenant.map_or(Vec::new(), |tenant| one(FaultAction::FloodTenant(tenant, factor)))
             }
-            FaultKind::RudeClients => one(Act::RudeClients(factor)),
+            FaultKind::RudeClients => one(FaultAction::RudeClients(factor)),
         }
     }
 }
 
-fn draw_servers(plan: &Scenario, rules: &RuleInfo, mean_work: f64, rng: &mut impl Rng) -> Vec<ServerInfo> {
+fn sample_servers(plan: &Scenario, rules: &RuleInfo, mean_work: f64, rng: &mut impl Rng) -> Vec<ServerInfo> {
     let zones = plan.fleet.zones.len();
     let sizes =
         if plan.fleet.zone_weights.is_empty() { vec![1.0; zones] } else { plan.fleet.zone_weights.clone() };
     // One for each zone, whatever its size, and the rest by size.
-    let mut counts = deal(plan.fleet.servers as usize - zones, &sizes);
+    let mut counts = apportion(plan.fleet.servers as usize - zones, &sizes);
     counts.iter_mut().for_each(|count| *count += 1);
     let mut kinds: Vec<usize> = Vec::new();
     let shares: Vec<f64> = plan.kinds.iter().map(|kind| kind.share).collect();
-    for (kind, count) in deal(plan.fleet.servers as usize, &shares).into_iter().enumerate() {
+    for (kind, count) in apportion(plan.fleet.servers as usize, &shares).into_iter().enumerate() {
         kinds.extend(std::iter::repeat_n(kind, count));
     }
     kinds.shuffle(rng);
-    let group = draw(rng, plan.fleet.group_size).round().max(1.0) as usize;
+    let group = sample_range(rng, plan.fleet.group_size).round().max(1.0) as usize;
     let choke = plan.fleet.congestion.then(|| Choke {
         at: Range::new(7.0, 4.0).interpolate(rng.random()),
         over: seconds(Range::new(2.5, 1.5).interpolate(rng.random())),
@@ -577,7 +579,7 @@
     let servers = turns.into_iter().zip(kinds).map(|(zone, kind_at)| {
         let kind = &plan.kinds[kind_at];
         let cores = f64::from(kind.cores);
-        let speed = draw(rng, kind.speed);
+        let speed = sample_range(rng, kind.speed);
         let cell = (within[zone as usize] / group) as u64 * zones as u64 + u64::from(zone);
         within[zone as usize] += 1;
         let spec = Spec {
@@ -586,12 +588,12 @@
             kind: kind_at as u32,
             cores,
             speed,
-            slots: (draw(rng, kind.concurrency) * cores).round().max(1.0) as usize,
-            room: (draw(rng, kind.queue_capacity) * cores).round() as usize,
-            thrash: draw(rng, kind.thrash),
-            thrash_at: draw(rng, kind.thrash_at),
-            cold_from: draw(rng, kind.initial_capacity),
-            warm_after: seconds(draw(rng, kind.slow_start_s)),
+            slots: (sample_range(rng, kind.concurrency) * cores).round().max(1.0) as usize,
+            room: (sample_range(rng, kind.queue_capacity) * cores).round() as usize,
+            thrash: sample_range(rng, kind.thrash),
+            thrash_at: sample_range(rng, kind.thrash_at),
+            cold_from: sample_range(rng, kind.initial_capacity),
+            warm_after: seconds(sample_range(rng, kind.slow_start_s)),
             error_rate: kind.error_rate,
             cancel,
             drops_expired,
@@ -599,30 +601,30 @@
             handshake,
             full_tax,
             choke,
-            tip_multiple: rules.fall_multiple,
-            tip_span: rules.fall_span,
+            tip_multiple: rules.overload_factor,
+            tip_span: rules.overload_window,
             tip_mean: mean_work,
             reporting,
         };
-        ServerInfo { spec, size: cores * (kind.speed.from + kind.speed.to) / 2.0 }
+        ServerInfo { spec, weight: cores * (kind.speed.from + kind.speed.to) / 2.0 }
     });
     servers.collect()
 }
 
-fn draw_classes(plan: &Scenario, rng: &mut impl Rng) -> Vec<ClassInfo> {
+fn sample_classes(plan: &Scenario, rng: &mut impl Rng) -> Vec<ClassInfo> {
     let all: f64 = plan.classes.iter().map(|class| class.share).sum();
     let made = plan.classes.iter().map(|class| ClassInfo {
         name: class.name.clone(),
         share: class.share / all,
-        work: millis(draw(rng, class.work_ms)) as f64,
-        wait: millis(draw(rng, class.io_wait_ms)),
-        cv: draw(rng, class.cv),
-        aim: millis(class.latency_target_ms),
+        work: millis(sample_range(rng, class.work_ms)) as f64,
+        io_wait: millis(sample_range(rng, class.io_wait_ms)),
+        cv: sample_range(rng, class.cv),
+        latency_target: millis(class.latency_target_ms),
         deadline: millis(class.deadline_ms),
-        worth: class.value,
-        late_worth: class.late_value_share,
-        effect: class.idempotency,
-        window: millis(class.dedup_window_ms),
+        value: class.value,
+        late_value_share: class.late_value_share,
+        idempotency: class.idempotency,
+        dedup_window: millis(class.dedup_window_ms),
     });
     made.collect()
 }
--- a/model/tests/virtual_time.rs
+++ b/model/tests/virtual_time.rs
@@ -125,13 +125,13 @@
 
 #[test]
 fn a_world_is_drawn_by_its_seed_and_a_further_fault_moves_no_server() {
-    let calm = World::draw(&plan(Vec::new()), 9);
-    let troubled = World::draw(&plan(vec![Fault { count: Some(2), ..fault(FaultKind::KillNode) }]), 9);
+    let calm = World::sample(&plan(Vec::new()), 9);
+    let troubled = World::sample(&plan(vec![Fault { count: Some(2), ..fault(FaultKind::KillNode) }]), 9);
     let sizes = |world: &World| world.servers.iter().map(|s| (s.spec.zone, s.spec.speed)).collect::<Vec<_>>();
     assert_eq!(sizes(&calm), sizes(&troubled));
-    assert_ne!(sizes(&calm), sizes(&World::draw(&plan(Vec::new()), 10)));
-    assert_eq!(troubled.steps.len(), 2);
-    let all: f64 = calm.load.zones.iter().sum();
+    assert_ne!(sizes(&calm), sizes(&World::sample(&plan(Vec::new()), 10)));
+    assert_eq!(troubled.faults.len(), 2);
+    let all: f64 = calm.load.zone_shares.iter().sum();
     assert!((all - 1.0).abs() < 1e-9);
 }
 
--- a/rig/src/agents.rs
+++ b/rig/src/agents.rs
@@ -9,8 +9,8 @@
 use brookfield::{Member, Nanos, Stage};
 use bytes::Bytes;
 use flaxdale_fleet::watch::INSTANCES_PATH;
-use flaxdale_model::timeline::{Change, Timeline};
-use flaxdale_model::world::{Act, World, stream};
+use flaxdale_model::timeline::{ListChange, Timeline};
+use flaxdale_model::world::{FaultAction, World, rng_stream};
 use http_body_util::Full;
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
@@ -69,8 +69,8 @@
 
 /// The list with so many of the changes in it; those that have gone are not on it.
 fn whole(timeline: &Timeline, known: usize) -> Vec<Member> {
-    let mut members = timeline.first.clone();
-    for Change { member, .. } in &timeline.changes[..known] {
+    let mut members = timeline.initial_members.clone();
+    for ListChange { member, .. } in &timeline.changes[..known] {
         match members.iter_mut().find(|other| other.backend == member.backend) {
             Some(other) => *other = *member,
             None => members.push(*member),
@@ -84,7 +84,7 @@
     /// Opens a node's agent and starts its tasks; they end with the runtime.
     pub fn open(shared: Arc<Shared>, node: usize, endpoints: Endpoints) -> std::io::Result<Arc<Self>> {
         let door = Door::open()?;
-        let luck = Mutex::new(stream(shared.world.seed, 40_000 + node as u64));
+        let luck = Mutex::new(rng_stream(shared.world.seed, 40_000 + node as u64));
         let (first_at, known) = (door.at(), watch::Sender::new(0));
         let at = watch::Sender::new(first_at);
         let own = Arc::new(Self { node, shared, endpoints, at, first_at, known, luck });
@@ -128,7 +128,7 @@
         loop {
             let known = *self.known.borrow();
             let Some(change) = timeline.changes.get(known) else { return };
-            let (_, late) = timeline.discovery(change.at);
+            let (_, late) = timeline.discovery_state(change.at);
             shared.clock.sleep_until(change.at + late + spread).await;
             self.known.send_replace(known + 1);
         }
@@ -175,9 +175,11 @@
         }
         let trouble = self.trouble();
         match trouble {
-            Some(Act::SilentDiscovery) => std::future::pending().await,
-            Some(Act::RubbishDiscovery) => return plain(StatusCode::OK, "{\"rev\":\"soon\"".to_owned()),
-            Some(Act::BusyDiscovery(share)) if lock(&self.luck).random::<f64>() < share => {
+            Some(FaultAction::SilentDiscovery) => std::future::pending().await,
+            Some(FaultAction::RubbishDiscovery) => {
+                return plain(StatusCode::OK, "{\"rev\":\"soon\"".to_owned());
+            }
+            Some(FaultAction::BusyDiscovery(share)) if lock(&self.luck).random::<f64>() < share => {
                 return plain(StatusCode::SERVICE_UNAVAILABLE, "too many calls".to_owned());
             }
             _ => {}
@@ -198,12 +200,16 @@
         plain(StatusCode::OK, list.to_string())
     }
 
-    fn trouble(&self) -> Option<Act> {
+    fn trouble(&self) -> Option<FaultAction> {
         let now = self.shared.clock.now();
-        let is =
-            |act: &Act| matches!(act, Act::SilentDiscovery | Act::RubbishDiscovery | Act::BusyDiscovery(_));
+        let is = |act: &FaultAction| {
+            matches!(
+                act,
+                FaultAction::SilentDiscovery | FaultAction::RubbishDiscovery | FaultAction::BusyDiscovery(_)
+            )
+        };
         let timeline = self.shared.timeline();
-        timeline.steps.iter().filter(|step| step.is_on(now)).map(|step| step.act.clone()).find(is)
+        timeline.faults.iter().filter(|step| step.is_active(now)).map(|step| step.action.clone()).find(is)
     }
 
     fn answer_whole(&self, known: usize) -> Value {
--- a/rig/src/callers.rs
+++ b/rig/src/callers.rs
@@ -12,7 +12,7 @@
 use flaxdale_model::ledger::{Answer, wire_id};
 use flaxdale_model::measure::Fate;
 use flaxdale_model::plan::Idempotency;
-use flaxdale_model::world::{MS, SECOND, stream};
+use flaxdale_model::world::{MS, SECOND, rng_stream};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::client::conn::http1::{SendRequest, handshake};
 use hyper::{Method, Request, StatusCode};
@@ -92,7 +92,7 @@
             places: (0..nodes).map(|_| Place::default()).collect(),
             clients: Mutex::new(Clients::new(&shared.world, shared.timeline().start)),
             idle: (0..nodes).map(|_| Mutex::default()).collect(),
-            luck: Mutex::new(stream(shared.world.seed, 11)),
+            luck: Mutex::new(rng_stream(shared.world.seed, 11)),
             next_id: AtomicU64::new(1),
             room: Arc::new(Semaphore::new(MOST_OUT)),
             turned_away: AtomicU64::new(0),
@@ -191,8 +191,8 @@
         let before = harms();
         {
             let mut book = lock(&shared.book);
-            book.ledger.asked(id, class.effect, class.window, not_after, now);
-            let key = (class.effect == Idempotency::Keyed).then_some((ask.number, class.window));
+            book.ledger.asked(id, class.idempotency, class.dedup_window, not_after, now);
+            let key = (class.idempotency == Idempotency::Keyed).then_some((ask.number, class.dedup_window));
             book.known.insert(id, Known { node, work: ask.work, wait: ask.wait, not_after, key });
         }
         let left = Duration::from_nanos((not_after + ANSWER_SLACK).saturating_sub(now));
@@ -284,7 +284,7 @@
         let world = &self.shared.world;
         let class = &world.classes[ask.class];
         let left = not_after.saturating_sub(self.shared.clock.now()) / MS;
-        let method = if class.effect == Idempotency::Idempotent { Method::GET } else { Method::POST };
+        let method = if class.idempotency == Idempotency::Idempotent { Method::GET } else { Method::POST };
         let mut request = Request::builder()
             .method(method)
             .uri("/api")
@@ -295,12 +295,15 @@
         if let Some(tenant) = ask.tenant {
             request = request.header("x-caller", &world.tenants[tenant].name);
         }
-        if class.effect == Idempotency::Keyed {
+        if class.idempotency == Idempotency::Keyed {
             // One key for all tries of a client's request.
             request = request.header("idempotency-key", format!("{:032x}", ask.number));
         }
-        let body =
-            if class.effect == Idempotency::Idempotent { Bytes::new() } else { Bytes::from_static(b"{}") };
+        let body = if class.idempotency == Idempotency::Idempotent {
+            Bytes::new()
+        } else {
+            Bytes::from_static(b"{}")
+        };
         request.body(Full::new(body)).ok()
     }
 
--- a/rig/src/nodes.rs
+++ b/rig/src/nodes.rs
@@ -287,7 +287,7 @@
 
 fn seed_of(shared: &Shared, node: usize, start: u32) -> u64 {
     use rand::RngExt;
-    let mut rng = flaxdale_model::world::stream(shared.world.seed, 30_000 + node as u64);
+    let mut rng = flaxdale_model::world::rng_stream(shared.world.seed, 30_000 + node as u64);
     rng.random::<u64>() ^ u64::from(start)
 }
 
--- a/rig/src/orders.rs
+++ b/rig/src/orders.rs
@@ -42,7 +42,8 @@
         let named = |order: &brookfield::ZoneOverride| {
             (zones[order.zone.0 as usize].clone(), Zone { share: order.traffic_share, ..Zone::default() })
         };
-        let zones: BTreeMap<String, Zone> = self.shared.timeline().orders(now).iter().map(named).collect();
+        let zones: BTreeMap<String, Zone> =
+            self.shared.timeline().zone_overrides(now).iter().map(named).collect();
         let registry = (!self.addresses.is_empty()).then(|| Registry { addresses: self.addresses.clone() });
         let text = toml::to_string(&Fleet { registry, zones }).map_err(std::io::Error::other)?;
         // Beside it first: a node that reads it meanwhile reads one of the two.
--- a/rig/src/play.rs
+++ b/rig/src/play.rs
@@ -208,10 +208,10 @@
         seconds: tally.seconds.iter().map(Moment::from).collect(),
         delays: if tally.served.is_empty() { Vec::new() } else { SHARES.map(delay).to_vec() },
         faults: world
-            .steps
+            .faults
             .iter()
             .map(|step| Played {
-                what: format!("{:?}", step.act),
+                what: format!("{:?}", step.action),
                 from_s: step.at as f64 / 1e9,
                 to_s: step.until.map(|until| until as f64 / 1e9),
             })
--- a/rig/src/rank.rs
+++ b/rig/src/rank.rs
@@ -44,7 +44,7 @@
     let tick = if of.run.tick_ms > 0.0 { of.run.tick_ms } else { TICK_MS };
     let options = Options { span: seconds(of.run.seconds), tick: millis(tick), threads: 1 };
     let plan = of.plan();
-    let world = flaxdale_model::world::World::draw(&plan, seed);
+    let world = flaxdale_model::world::World::sample(&plan, seed);
     let command = builds[build].command.clone();
     let module = |_| -> Result<Box<dyn Module>, String> {
         match &command {
--- a/rig/src/registrants.rs
+++ b/rig/src/registrants.rs
@@ -113,7 +113,7 @@
         let world = &self.shared.world;
         let spec = &world.servers[of].spec;
         json!({"uid": uid, "endpoint": endpoint.to_string(), "az": world.zones[spec.zone as usize],
-            "model": world.kinds[spec.kind as usize], "pod_group": spec.cell, "capacity_hint": world.servers[of].size,
+            "model": world.kinds[spec.kind as usize], "pod_group": spec.cell, "capacity_hint": world.servers[of].weight,
             "boot_ms": boot_ms})
     }
 
--- a/rig/src/registry.rs
+++ b/rig/src/registry.rs
@@ -11,7 +11,7 @@
 use brookfield::Nanos;
 use flaxdale_model::ledger::Rule;
 use flaxdale_model::plan::Registry as Plan;
-use flaxdale_model::world::{Act, Party, SECOND};
+use flaxdale_model::world::{FaultAction, LinkEnd, SECOND};
 use serde_json::json;
 use tokio::sync::watch;
 use tokio::time::sleep;
@@ -64,7 +64,7 @@
     watchers: Arc<Watchers>,
     crowd: Arc<Watchers>,
     /// Who was harmed by which fault, until it ends.
-    harmed: Mutex<Vec<(Act, usize)>>,
+    harmed: Mutex<Vec<(FaultAction, usize)>>,
     stages: Mutex<Vec<Stage>>,
     /// Whether any process was started again.
     restarted: AtomicBool,
@@ -81,9 +81,9 @@
         shared: Arc<Shared>,
         folder: &Path,
         servers: &[Arc<AppServer>],
-        touched: impl Fn(Party, Party) -> bool,
+        touched: impl Fn(LinkEnd, LinkEnd) -> bool,
     ) -> std::io::Result<Arc<Self>> {
-        let between = |one, other| touched(Party::Replica(one), Party::Replica(other));
+        let between = |one, other| touched(LinkEnd::Replica(one), LinkEnd::Replica(other));
         let replicas = Replicas::prepare(binary, program, shared.clone(), plan, folder, between)?;
         let addresses: Vec<SocketAddr> = replicas.all.iter().map(|one| one.client).collect();
         let endpoints = servers.iter().filter(|server| server.is_up()).map(|server| server.at()).collect();
@@ -112,17 +112,17 @@
     pub fn addresses(
         &self,
         node: usize,
-        touched: impl Fn(Party, Party) -> bool,
+        touched: impl Fn(LinkEnd, LinkEnd) -> bool,
     ) -> std::io::Result<Vec<SocketAddr>> {
         let info = &self.shared.world.nodes[node];
         let mut addresses = Vec::new();
         for (number, replica) in self.replicas.all.iter().enumerate() {
-            addresses.push(if touched(Party::Node(node), Party::Replica(number)) {
-                let own = (Party::Node(node), info.zone);
+            addresses.push(if touched(LinkEnd::Node(node), LinkEnd::Replica(number)) {
+                let own = (LinkEnd::Node(node), info.zone);
                 Link::open(
                     self.shared.clone(),
                     own,
-                    flaxdale_model::timeline::replica(number),
+                    flaxdale_model::timeline::replica_end(number),
                     replica.client,
                 )?
             } else {
@@ -199,9 +199,11 @@
     }
 
     /// Plays a fault that concerns a replica.
-    pub async fn act(&self, act: Act, begins: bool) {
+    pub async fn act(&self, act: FaultAction, begins: bool) {
         let who = match act {
-            Act::KillReplica(who) | Act::PauseReplica(who) | Act::LoseReplica(who) => who,
+            FaultAction::KillReplica(who)
+            | FaultAction::PauseReplica(who)
+            | FaultAction::LoseReplica(who) => who,
             _ => return,
         };
         let at = if begins { self.whom(who).await } else { self.was_harmed(&act) };
@@ -212,9 +214,9 @@
         let name = self.replicas.all[at].name.clone();
         self.shared.event("replica-harmed", json!({"replica": name, "begins": begins}));
         match (&act, begins) {
-            (Act::PauseReplica(_), _) => drop(self.replicas.pause(at, begins)),
-            (Act::KillReplica(_), true) => self.replicas.kill(at, true).await,
-            (Act::LoseReplica(_), true) => self.replicas.kill(at, false).await,
+            (FaultAction::PauseReplica(_), _) => drop(self.replicas.pause(at, begins)),
+            (FaultAction::KillReplica(_), true) => self.replicas.kill(at, true).await,
+            (FaultAction::LoseReplica(_), true) => self.replicas.kill(at, false).await,
             _ => {
                 self.restarted.store(true, Ordering::Relaxed);
                 if let Err(error) = self.replicas.start(at) {
@@ -245,7 +247,7 @@
         }
     }
 
-    fn was_harmed(&self, act: &Act) -> Option<usize> {
+    fn was_harmed(&self, act: &FaultAction) -> Option<usize> {
         let mut harmed = lock(&self.harmed);
         let at = harmed.iter().position(|(by, _)| by == act)?;
         Some(harmed.remove(at).1)
--- a/rig/src/relay.rs
+++ b/rig/src/relay.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use flaxdale_model::world::{LinkTrouble, Party, stream};
+use flaxdale_model::world::{LinkEnd, LinkFault, rng_stream};
 use rand::RngExt;
 use rand_chacha::ChaCha12Rng;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -26,7 +26,7 @@
 const LOOK: Duration = Duration::from_millis(10);
 
 /// A party and its zone.
-pub type End = (Party, u32);
+pub type End = (LinkEnd, u32);
 
 /// One link, from whoever opens the connections to whoever takes them.
 pub struct Link {
@@ -42,21 +42,21 @@
         let door = Door::open()?;
         let at = door.at();
         let number = 60_000 + u64::from(at.port());
-        let luck = stream(shared.world.seed, number);
+        let luck = rng_stream(shared.world.seed, number);
         tokio::spawn(Arc::new(Self { shared, from, to, target }).run(door, luck));
         Ok(at)
     }
 
     /// What goes one way: out is from the opener to the taker.
-    fn trouble(&self, out: bool) -> Option<LinkTrouble> {
+    fn trouble(&self, out: bool) -> Option<LinkFault> {
         let now = self.shared.clock.now();
         let (from, to) = if out { (self.from, self.to) } else { (self.to, self.from) };
-        self.shared.timeline().link(now, from, to)
+        self.shared.timeline().link_fault(now, from, to)
     }
 
     fn is_cut(&self) -> bool {
         // Without the way back no connection comes up either.
-        [true, false].iter().any(|out| self.trouble(*out) == Some(LinkTrouble::Cut))
+        [true, false].iter().any(|out| self.trouble(*out) == Some(LinkFault::Cut))
     }
 
     async fn run(self: Arc<Self>, mut door: Door, mut luck: ChaCha12Rng) {
@@ -73,7 +73,7 @@
                         // A listener that can't change its ways goes on; what passes is held all the same.
                         let _ = if cut { door.silence().await } else { door.reopen() };
                     }
-                    if let Some(LinkTrouble::Reset(chance)) = self.trouble(true).or_else(|| self.trouble(false)) {
+                    if let Some(LinkFault::Reset(chance)) = self.trouble(true).or_else(|| self.trouble(false)) {
                         let each = 1.0 - (1.0 - chance.min(1.0)).powf(LOOK.as_secs_f64());
                         if luck.random::<f64>() < each {
                             open.abort_all();
@@ -108,8 +108,8 @@
             while let Ok(count @ 1..) = from.read(&mut piece).await {
                 let mut due = Instant::now();
                 match self.trouble(out) {
-                    Some(LinkTrouble::Delay(more)) => due += Duration::from_nanos(more),
-                    Some(LinkTrouble::Throttle(rate)) => {
+                    Some(LinkFault::Delay(more)) => due += Duration::from_nanos(more),
+                    Some(LinkFault::Throttle(rate)) => {
                         sleep(Duration::from_secs_f64(count as f64 / rate.max(1.0))).await;
                     }
                     _ => {}
@@ -123,7 +123,7 @@
         let writing = async {
             while let Some((due, piece)) = receive.recv().await {
                 sleep_until(due).await;
-                while self.trouble(out) == Some(LinkTrouble::Cut) {
+                while self.trouble(out) == Some(LinkFault::Cut) {
                     sleep(LOOK).await;
                 }
                 if to.write_all(&piece).await.is_err() {
--- a/rig/src/replicas.rs
+++ b/rig/src/replicas.rs
@@ -11,7 +11,7 @@
 use flaxdale_fleet::call::{Call, HttpClient};
 use flaxdale_fleet::parent_process;
 use flaxdale_model::plan::Registry;
-use flaxdale_model::timeline::replica as end_of;
+use flaxdale_model::timeline::replica_end as end_of;
 use rustix::process::Signal;
 use serde_json::{Value, json};
 use tokio::time::{Instant, sleep};
--- a/rig/src/servers.rs
+++ b/rig/src/servers.rs
@@ -13,7 +13,7 @@
 use flaxdale_model::keys::Key;
 use flaxdale_model::ledger::Rule;
 use flaxdale_model::server::{Ailment, End, Job, Offer, Server};
-use flaxdale_model::world::{MS, stream};
+use flaxdale_model::world::{MS, rng_stream};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
@@ -87,7 +87,7 @@
         if first == First::Later {
             server.stop(shared.clock.now());
         }
-        let luck = stream(shared.world.seed, 50_000 + u64::from(instance));
+        let luck = rng_stream(shared.world.seed, 50_000 + u64::from(instance));
         let machine = if first == First::Up { Machine::Up } else { Machine::Down };
         let own = Arc::new(Self {
             instance,
@@ -288,7 +288,7 @@
     async fn serve(&self, id: u64, known: Known, fresh: bool) -> (Response<Full<Bytes>>, Nanos) {
         let shared = &self.shared;
         let spec = shared.world.servers[self.place].spec;
-        let way = shared.world.way(shared.world.nodes[known.node].zone, spec.zone);
+        let way = shared.world.one_way_delay(shared.world.nodes[known.node].zone, spec.zone);
         let now = shared.clock.now();
         let drains = lock(&shared.drains[known.node]).get(&self.instance).copied();
         let booked = lock(&shared.book).ledger.arrived(id, self.instance, spec.cell, drains, now);
--- a/rig/src/shared.rs
+++ b/rig/src/shared.rs
@@ -97,7 +97,7 @@
 
     /// The load starts then: faults and the list's changes count from it.
     pub fn begin(&self, start: Nanos, ledger: Ledger) {
-        let timeline = Timeline::of(&self.world, start);
+        let timeline = Timeline::new(&self.world, start);
         *self.timeline.write().unwrap_or_else(PoisonError::into_inner) = Arc::new(timeline);
         *lock(&self.tally) = Tally::new(&self.world, start);
         lock(&self.book).ledger = ledger;
--- a/rig/src/sockets.rs
+++ b/rig/src/sockets.rs
@@ -14,8 +14,10 @@
 use flaxdale_model::measure::Second;
 use flaxdale_model::plan::Range;
 use flaxdale_model::server::Ailment;
-use flaxdale_model::timeline::{DISCOVERY, Timeline};
-use flaxdale_model::world::{Act, Party, SECOND, Step, World, millis, seconds, stream};
+use flaxdale_model::timeline::{DISCOVERY_END, Timeline};
+use flaxdale_model::world::{
+    FaultAction, LinkEnd, SECOND, ScheduledFault, World, millis, rng_stream, seconds,
+};
 use rand::RngExt;
 use serde_json::json;
 use tokio::sync::{Semaphore, watch};
@@ -154,18 +156,18 @@
     let machine = |what| move |source| RunError::Machine { what, source };
     let experiment = &stage.experiment;
     let plan = experiment.plan();
-    let world = World::draw(&plan, stage.seed);
+    let world = World::sample(&plan, stage.seed);
     let clock = Clock::start();
     let slack = millis(experiment.run.slack_ms);
     let limits =
         Limits { answer_slack: ANSWER_SLACK + slack, drain_grace: world.rules.drain_grace, observers: slack };
     // The load starts when all is ready; until then nothing of the timeline comes due.
     let far = clock.now() + 86_400 * SECOND;
-    let timeline = Timeline::of(&world, far);
+    let timeline = Timeline::new(&world, far);
     let shared = Arc::new(Shared::new(world, timeline, clock, Ledger::new(limits, far)));
     let mut servers = Vec::new();
     for (number, instance) in shared.timeline().instances.iter().enumerate() {
-        let first = if instance.starts == 0 { First::Up } else { First::Later };
+        let first = if instance.starts_at == 0 { First::Up } else { First::Later };
         let server = AppServer::open(shared.clone(), number as u32, first);
         servers.push(server.map_err(machine("an app server's port"))?);
     }
@@ -180,16 +182,16 @@
         let mut endpoints = direct.clone();
         for &(_, instance) in touched.iter().filter(|(of, _)| *of == node) {
             let place = shared.timeline().instances[instance];
-            let from = (Party::Node(node), shared.world.nodes[node].zone);
-            let to = (Party::Server(place.server), place.zone);
+            let from = (LinkEnd::Node(node), shared.world.nodes[node].zone);
+            let to = (LinkEnd::Server(place.server), place.zone);
             let link = Link::open(shared.clone(), from, to, direct[instance]);
             endpoints[instance] = link.map_err(machine("a link's port"))?;
         }
         let agent = Agent::open(shared.clone(), node, endpoints).map_err(machine("an agent's port"))?;
-        let own = (Party::Node(node), shared.world.nodes[node].zone);
+        let own = (LinkEnd::Node(node), shared.world.nodes[node].zone);
         let direct = agent.at();
-        let found = if faulted.iter().any(|one| one.concerns(own, DISCOVERY)) {
-            Link::open(shared.clone(), own, DISCOVERY, direct).map_err(machine("a link's port"))?
+        let found = if faulted.iter().any(|one| one.concerns(own, DISCOVERY_END)) {
+            Link::open(shared.clone(), own, DISCOVERY_END, direct).map_err(machine("a link's port"))?
         } else {
             direct
         };
@@ -217,11 +219,11 @@
         memory_mb: experiment.run.memory_mb,
         keeper,
     });
-    let zone_of = |party: Party| match party {
-        Party::Node(node) => shared.world.nodes[node].zone,
+    let zone_of = |party: LinkEnd| match party {
+        LinkEnd::Node(node) => shared.world.nodes[node].zone,
         _ => u32::MAX,
     };
-    let concerns = |one: Party, other: Party| {
+    let concerns = |one: LinkEnd, other: LinkEnd| {
         faulted.iter().any(|fault| fault.concerns((one, zone_of(one)), (other, zone_of(other))))
     };
     let registry = if plan.registry.replicas > 0 {
@@ -232,7 +234,7 @@
     } else {
         None
     };
-    let ordered = shared.world.steps.iter().any(|step| matches!(step.act, Act::OrderZone(..)));
+    let ordered = shared.world.faults.iter().any(|step| matches!(step.action, FaultAction::OrderZone(..)));
     let mut nodes: Vec<Arc<NodeProcess>> = Vec::new();
     for number in 0..shared.world.nodes.len() {
         let replicas = registry.as_ref().map(|registry| registry.addresses(number, concerns));
@@ -246,7 +248,7 @@
         };
         nodes.push(Arc::new(NodeProcess::new(program.clone(), shared.clone(), number, fleet)));
     }
-    let notice = FRONT_NOTICE.interpolate(stream(shared.world.seed, 12).random());
+    let notice = FRONT_NOTICE.interpolate(rng_stream(shared.world.seed, 12).random());
     let run = Arc::new(Run {
         callers: Callers::new(shared.clone()),
         registry,
@@ -309,14 +311,17 @@
 
 impl OneLink {
     fn concerns(&self, one: End, other: End) -> bool {
-        self.alone.link(self.at, one, other).or_else(|| self.alone.link(self.at, other, one)).is_some()
+        self.alone
+            .link_fault(self.at, one, other)
+            .or_else(|| self.alone.link_fault(self.at, other, one))
+            .is_some()
     }
 }
 
 fn each_link(shared: &Shared) -> Vec<OneLink> {
     let timeline = shared.timeline();
-    let of_links = timeline.steps.iter().filter(|step| matches!(step.act, Act::Link(..)));
-    let alone = |step: &Step| Timeline { steps: vec![step.clone()], ..Timeline::clone(&timeline) };
+    let of_links = timeline.faults.iter().filter(|step| matches!(step.action, FaultAction::Link(..)));
+    let alone = |step: &ScheduledFault| Timeline { faults: vec![step.clone()], ..Timeline::clone(&timeline) };
     of_links.map(|step| OneLink { at: step.at, alone: alone(step) }).collect()
 }
 
@@ -327,7 +332,7 @@
     for (node, info) in world.nodes.iter().enumerate() {
         for (number, instance) in timeline.instances.iter().enumerate() {
             let (from, to) =
-                ((Party::Node(node), info.zone), (Party::Server(instance.server), instance.zone));
+                ((LinkEnd::Node(node), info.zone), (LinkEnd::Server(instance.server), instance.zone));
             if faulted.iter().any(|one| one.concerns(from, to)) {
                 touched.push((node, number));
             }
@@ -341,9 +346,9 @@
         let late: Vec<usize> = self
             .shared
             .world
-            .steps
+            .faults
             .iter()
-            .filter_map(|step| if let Act::LateNode(node) = step.act { Some(node) } else { None })
+            .filter_map(|step| if let FaultAction::LateNode(node) = step.action { Some(node) } else { None })
             .collect();
         let slots = Arc::new(Semaphore::new(STARTS));
         let mut starting = JoinSet::new();
@@ -513,23 +518,23 @@
     async fn make_trouble(self: Arc<Self>) {
         let timeline = self.shared.timeline();
         let mut due: Vec<(Nanos, usize, bool)> = Vec::new();
-        for (number, step) in timeline.steps.iter().enumerate() {
+        for (number, step) in timeline.faults.iter().enumerate() {
             due.push((step.at, number, true));
             due.extend(step.until.map(|until| (until, number, false)));
         }
         for (number, instance) in timeline.instances.iter().enumerate() {
             // Processes that replace others.
-            if instance.starts > 0 {
-                due.push((instance.starts, usize::MAX - number, true));
+            if instance.starts_at > 0 {
+                due.push((instance.starts_at, usize::MAX - number, true));
             }
-            due.extend(instance.ends.map(|ends| (ends, usize::MAX - number, false)));
+            due.extend(instance.ends_at.map(|ends| (ends, usize::MAX - number, false)));
         }
         due.sort_unstable();
         let mut acting = JoinSet::new();
         for (at, number, begins) in due {
             self.shared.clock.sleep_until(at).await;
             let run = self.clone();
-            if number > timeline.steps.len() {
+            if number > timeline.faults.len() {
                 let server = &run.servers[usize::MAX - number];
                 if begins {
                     server.start()
@@ -539,7 +544,7 @@
                 self.shared.event("server", json!({"server": server.uid(), "up": begins}));
                 continue;
             }
-            let act = timeline.steps[number].act.clone();
+            let act = timeline.faults[number].action.clone();
             let kind = if begins { "fault-begins" } else { "fault-ends" };
             self.shared.event(kind, json!({"fault": format!("{act:?}")}));
             acting.spawn(async move { run.act(act, begins).await });
@@ -547,9 +552,9 @@
         while acting.join_next().await.is_some() {}
     }
 
-    async fn act(self: Arc<Self>, act: Act, begins: bool) {
+    async fn act(self: Arc<Self>, act: FaultAction, begins: bool) {
         match act {
-            Act::KillNode(node) if begins => {
+            FaultAction::KillNode(node) if begins => {
                 self.harm(node);
                 self.nodes[node].kill().await;
                 sleep(self.front_notice).await;
@@ -557,8 +562,8 @@
                     self.callers.places[node].open.store(false, Ordering::Relaxed);
                 }
             }
-            Act::KillNode(node) | Act::LateNode(node) => self.start_again(node).await,
-            Act::PauseNode(node) => {
+            FaultAction::KillNode(node) | FaultAction::LateNode(node) => self.start_again(node).await,
+            FaultAction::PauseNode(node) => {
                 self.harm(node);
                 let place = &self.callers.places[node];
                 place.paused.store(begins, Ordering::Relaxed);
@@ -568,7 +573,7 @@
                         .event("fault-missed", json!({"node": self.nodes[node].name, "why": "not there"}));
                 }
             }
-            Act::RestartNode(node) if begins => {
+            FaultAction::RestartNode(node) if begins => {
                 let place = &self.callers.places[node];
                 let stopping = async {
                     if !self.nodes[node].stop().await {
@@ -583,14 +588,20 @@
                 tokio::join!(stopping, closing);
                 self.start_again(node).await;
             }
-            Act::KillServer(server) => {
+            FaultAction::KillServer(server) => {
                 self.on_server(server, |server| if begins { server.kill() } else { server.start() })
             }
-            Act::SlowServer(server, factor) => self.ail(server, begins, |ailment| ailment.slower = factor),
-            Act::HangServer(server) => self.ail(server, begins, |ailment| ailment.hangs = true),
-            Act::FailServer(server, share) => self.ail(server, begins, |ailment| ailment.fails = share),
-            Act::BusyServer(server, share) => self.ail(server, begins, |ailment| ailment.taken = share),
-            Act::LoseZone(zone, cold) => {
+            FaultAction::SlowServer(server, factor) => {
+                self.ail(server, begins, |ailment| ailment.slower = factor)
+            }
+            FaultAction::HangServer(server) => self.ail(server, begins, |ailment| ailment.hangs = true),
+            FaultAction::FailServer(server, share) => {
+                self.ail(server, begins, |ailment| ailment.fails = share)
+            }
+            FaultAction::BusyServer(server, share) => {
+                self.ail(server, begins, |ailment| ailment.taken = share)
+            }
+            FaultAction::LoseZone(zone, cold) => {
                 for server in self.servers.iter().filter(|server| self.zone_of(server) == zone) {
                     if begins {
                         server.silence(true);
@@ -602,10 +613,10 @@
                     }
                 }
             }
-            Act::ReplaceServer(server) if begins && self.registry.is_some() => {
+            FaultAction::ReplaceServer(server) if begins && self.registry.is_some() => {
                 self.on_server(server, AppServer::drain);
             }
-            Act::OrderZone(..) => {
+            FaultAction::OrderZone(..) => {
                 for node in &self.nodes {
                     if let Err(error) = node.order() {
                         self.shared
@@ -613,12 +624,12 @@
                     }
                 }
             }
-            Act::KillReplica(_) | Act::PauseReplica(_) | Act::LoseReplica(_) => {
+            FaultAction::KillReplica(_) | FaultAction::PauseReplica(_) | FaultAction::LoseReplica(_) => {
                 if let Some(registry) = &self.registry {
                     registry.act(act, begins).await;
                 }
             }
-            Act::MoveDiscovery if begins => {
+            FaultAction::MoveDiscovery if begins => {
                 for (agent, node) in self.agents.iter().zip(&self.nodes) {
                     let moved = agent.relocate().map_err(|error| error.to_string());
                     let told =
@@ -628,16 +639,16 @@
                     }
                 }
             }
-            Act::Burst(factor) => {
+            FaultAction::Burst(factor) => {
                 self.callers.change(|clients| clients.burst(if begins { factor } else { 1.0 }))
             }
-            Act::FloodTenant(tenant, factor) => {
+            FaultAction::FloodTenant(tenant, factor) => {
                 self.callers.change(|clients| clients.flood(tenant, if begins { factor } else { 1.0 }));
             }
-            Act::RudeClients(rate) if begins => {
+            FaultAction::RudeClients(rate) if begins => {
                 let timeline = self.shared.timeline();
                 let now = self.shared.clock.now();
-                let until = timeline.steps.iter().find(|step| step.act == act && step.at <= now);
+                let until = timeline.faults.iter().find(|step| step.action == act && step.at <= now);
                 let until = until.and_then(|step| step.until).unwrap_or(Nanos::MAX);
                 let mut peers = JoinSet::new();
                 let mut every = interval(Duration::from_secs_f64(1.0 / rate.max(0.01)));
@@ -669,7 +680,8 @@
     fn on_server(&self, place: usize, then: impl Fn(&AppServer)) {
         let now = self.shared.clock.now();
         let timeline = self.shared.timeline();
-        let here = |server: &&Arc<AppServer>| timeline.instances[server.instance as usize].is_at(place, now);
+        let here =
+            |server: &&Arc<AppServer>| timeline.instances[server.instance as usize].occupies(place, now);
         match self.servers.iter().find(here) {
             Some(server) => then(server),
             None => self.shared.event("fault-missed", json!({"server": place, "why": "not there"})),
