--- a/model/src/server.rs
+++ b/model/src/server.rs
@@ -25,33 +25,33 @@
 
 /// What happens to work whose attempt is cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CancelRule {
+pub enum CancelPolicy {
     /// It goes on.
-    Nothing,
+    Ignore,
     /// What has not begun is dropped; running work goes on.
-    Waiting,
+    DropQueued,
 }
 
 /// How a crowded server turns slow, and what ends that.
 #[derive(Clone, Copy, Debug)]
-pub struct Choke {
+pub struct Congestion {
     /// Requests that wait for a core, for each core, from which on it is crowded.
-    pub at: f64,
+    pub queued_per_core: f64,
     /// How long it has to be crowded, in nanoseconds.
-    pub over: Nanos,
+    pub onset: Nanos,
     /// It turns this many times slower.
-    pub slower: f64,
+    pub slowdown: f64,
     /// It recovers once its busy share has been below this ...
-    pub below: f64,
+    pub recovery_utilization: f64,
     /// ... for so long, in nanoseconds, ...
-    pub rest: Nanos,
+    pub recovery_time: Nanos,
     /// ... or after this time at the latest.
-    pub most: Nanos,
+    pub max_duration: Nanos,
 }
 
 /// How load is reported.
 #[derive(Clone, Copy, Debug)]
-pub struct Reporting {
+pub struct LoadReporting {
     /// Between two refreshes, in nanoseconds.
     pub period: Nanos,
     /// A figure is told this long after its refresh, in nanoseconds.
@@ -62,7 +62,7 @@
 
 /// What a server is.
 #[derive(Clone, Copy, Debug)]
-pub struct Spec {
+pub struct ServerSpec {
     /// Its zone, by position.
     pub zone: u32,
     /// The group whose members share the keys that they have seen.
@@ -74,43 +74,43 @@
     /// Of a core against the standard one.
     pub speed: f64,
     /// Requests in work at a time.
-    pub slots: usize,
+    pub concurrency: usize,
     /// Requests that wait for a slot; more are turned away.
-    pub room: usize,
+    pub queue_capacity: usize,
     /// Loss of efficiency for each further `thrash_at` requests held for each core.
     pub thrash: f64,
     /// Requests held for each core up to which none is lost.
     pub thrash_at: f64,
     /// Share of its capacity that it starts with.
-    pub cold_from: f64,
+    pub initial_capacity: f64,
     /// It is warm so long after its start, in nanoseconds.
-    pub warm_after: Nanos,
+    pub slow_start_window: Nanos,
     /// Share of its requests that fail by themselves.
     pub error_rate: f64,
     /// What a cancel does.
-    pub cancel: CancelRule,
+    pub cancel_policy: CancelPolicy,
     /// Whether what its client has given up is dropped before it begins.
     pub drops_expired: bool,
     /// Most connections.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Work of a new one on a standard core, in nanoseconds.
-    pub handshake: f64,
+    pub handshake_work: f64,
     /// Share of the capacity that a full table of connections takes.
-    pub full_tax: f64,
+    pub connection_overhead: f64,
     /// Whether and how crowding turns it slow.
-    pub choke: Option<Choke>,
+    pub congestion: Option<Congestion>,
     /// A cold one sent more than this multiple of its capacity ...
-    pub tip_multiple: f64,
+    pub overload_factor: f64,
     /// ... over this span, in nanoseconds, falls over.
-    pub tip_span: Nanos,
+    pub overload_window: Nanos,
     /// Mean work of a request, in nanoseconds: with N of these in that budget it falls at more than N + 2 x root of
     /// N + 2 of them, since sends come by chance. At 0 it falls a tenth and one request past the budget.
-    pub tip_mean: f64,
+    pub mean_work: f64,
     /// Load reports, if there are any.
-    pub reporting: Option<Reporting>,
+    pub reporting: Option<LoadReporting>,
 }
 
-impl Default for Spec {
+impl Default for ServerSpec {
     fn default() -> Self {
         Self {
             zone: 0,
@@ -118,22 +118,22 @@
             kind: 0,
             cores: 1.0,
             speed: 1.0,
-            slots: 8,
-            room: 16,
+            concurrency: 8,
+            queue_capacity: 16,
             thrash: 0.3,
             thrash_at: 16.0,
-            cold_from: 0.2,
-            warm_after: 20_000_000_000,
+            initial_capacity: 0.2,
+            slow_start_window: 20_000_000_000,
             error_rate: 0.0,
-            cancel: CancelRule::Waiting,
+            cancel_policy: CancelPolicy::DropQueued,
             drops_expired: true,
-            connections: 800,
-            handshake: 1_000_000.0,
-            full_tax: 0.1,
-            choke: None,
-            tip_multiple: 3.0,
-            tip_span: 1_500_000_000,
-            tip_mean: 0.0,
+            max_connections: 800,
+            handshake_work: 1_000_000.0,
+            connection_overhead: 0.1,
+            congestion: None,
+            overload_factor: 3.0,
+            overload_window: 1_500_000_000,
+            mean_work: 0.0,
             reporting: None,
         }
     }
@@ -141,20 +141,20 @@
 
 /// What a fault does to a server while it lasts. Neutral by default.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ailment {
+pub struct ServerFault {
     /// Runs this many times slower.
-    pub slower: f64,
+    pub slowdown: f64,
     /// Share of the machine that another program takes.
-    pub taken: f64,
+    pub stolen_cpu: f64,
     /// Takes requests and answers none.
-    pub hangs: bool,
+    pub hung: bool,
     /// Share of the requests that fail at once.
-    pub fails: f64,
+    pub failure_rate: f64,
 }
 
-impl Default for Ailment {
+impl Default for ServerFault {
     fn default() -> Self {
-        Self { slower: 1.0, taken: 0.0, hangs: false, fails: 0.0 }
+        Self { slowdown: 1.0, stolen_cpu: 0.0, hung: false, failure_rate: 0.0 }
     }
 }
 
@@ -164,22 +164,22 @@
     /// The driver's number for it, unique among those that this server holds.
     pub id: u64,
     /// Whom its answer is for, as the driver knows it.
-    pub from: u32,
+    pub sender: u32,
     /// To compute, on a standard core, in nanoseconds.
     pub work: f64,
     /// To wait on others after that, in nanoseconds.
-    pub wait: Nanos,
+    pub io_wait: Nanos,
     /// When its client gives it up.
     pub not_after: Nanos,
     /// A draw from 0 to 1 that decides whether it fails.
-    pub luck: f64,
+    pub failure_draw: f64,
     /// The server's last start, as its sender has been told of it.
-    pub told_start: Option<Nanos>,
+    pub known_start: Option<Nanos>,
 }
 
 /// How a job ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum JobOutcome {
     /// It ran, and is answered.
     Served,
     /// It failed; it may have run.
@@ -190,9 +190,9 @@
 
 /// Whether a request was taken in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Offer {
+pub enum Admission {
     /// It runs, or waits for a slot.
-    Taken,
+    Accepted,
     /// Turned away: it never ran.
     Full,
     /// It failed at once; it may have run.
@@ -210,8 +210,8 @@
 
 /// A server's state. Every call is given the present; a time before the last one counts as that.
 pub struct Server {
-    spec: Spec,
-    ailment: Ailment,
+    spec: ServerSpec,
+    ailment: ServerFault,
     now: Nanos,
     up: bool,
     /// Since when it has been up, unless it was warm from the beginning.
@@ -244,10 +244,10 @@
 
 impl Server {
     /// A server that is up and warm.
-    pub fn new(spec: Spec, now: Nanos) -> Self {
+    pub fn new(spec: ServerSpec, now: Nanos) -> Self {
         Self {
             spec,
-            ailment: Ailment::default(),
+            ailment: ServerFault::default(),
             now,
             up: true,
             booted: None,
@@ -274,7 +274,7 @@
     }
 
     /// What it is.
-    pub fn spec(&self) -> &Spec {
+    pub fn spec(&self) -> &ServerSpec {
         &self.spec
     }
 
@@ -284,27 +284,27 @@
     }
 
     /// Whether it fell over while cold: it stays down until it is started again.
-    pub fn has_fallen(&self) -> bool {
+    pub fn has_crashed(&self) -> bool {
         self.fallen
     }
 
     /// Whether it was pushed over by those who had been told of its start: over two thirds of the work came from them.
-    pub fn told_pushed(&self) -> bool {
+    pub fn overloaded_by_informed_senders(&self) -> bool {
         self.fallen && self.told_part > TOLD_PART
     }
 
     /// Whether crowding has turned it slow.
-    pub fn is_choked(&self) -> bool {
+    pub fn is_congested(&self) -> bool {
         self.choked_since.is_some()
     }
 
     /// Since when it has been up; none if it was warm from the beginning.
-    pub fn booted(&self) -> Option<Nanos> {
+    pub fn started_at(&self) -> Option<Nanos> {
         self.booted
     }
 
     /// Requests that it holds.
-    pub fn holds(&self) -> usize {
+    pub fn job_count(&self) -> usize {
         self.jobs.len()
     }
 
@@ -340,27 +340,27 @@
     }
 
     /// Begins or ends a fault.
-    pub fn ail(&mut self, now: Nanos, ailment: Ailment) {
+    pub fn set_fault(&mut self, now: Nanos, ailment: ServerFault) {
         self.move_to(now);
         self.ailment = ailment;
     }
 
     /// The fault that it has.
-    pub fn ailment(&self) -> Ailment {
+    pub fn fault(&self) -> ServerFault {
         self.ailment
     }
 
     /// Share of its capacity that it has by now.
-    pub fn ramp(&self, now: Nanos) -> f64 {
+    pub fn capacity_share(&self, now: Nanos) -> f64 {
         let Some(booted) = self.booted else { return 1.0 };
-        let part = now.saturating_sub(booted) as f64 / self.spec.warm_after.max(1) as f64;
-        (self.spec.cold_from + (1.0 - self.spec.cold_from) * part).min(1.0)
+        let part = now.saturating_sub(booted) as f64 / self.spec.slow_start_window.max(1) as f64;
+        (self.spec.initial_capacity + (1.0 - self.spec.initial_capacity) * part).min(1.0)
     }
 
     /// A connection comes in; false where its table is full or its process down.
     pub fn connect(&mut self, now: Nanos) -> bool {
         self.move_to(now);
-        let fits = self.up && self.connections < self.spec.connections;
+        let fits = self.up && self.connections < self.spec.max_connections;
         self.connections += usize::from(fits);
         fits
     }
@@ -372,44 +372,44 @@
     }
 
     /// Whether a request with this luck would be answered, if it needed no work: so a repeat that its group knows is.
-    pub fn answers(&self, luck: f64) -> bool {
-        self.up && !self.fallen && !self.ailment.hangs && luck >= self.ailment.fails
+    pub fn would_respond(&self, luck: f64) -> bool {
+        self.up && !self.fallen && !self.ailment.hung && luck >= self.ailment.failure_rate
     }
 
     /// A request comes in, on a new connection or one that was there.
-    pub fn offer(&mut self, now: Nanos, mut job: Job, fresh: bool) -> Offer {
+    pub fn submit(&mut self, now: Nanos, mut job: Job, fresh: bool) -> Admission {
         self.move_to(now);
         if !self.up {
-            return Offer::Down;
+            return Admission::Down;
         }
         self.count_cold(&job);
         if self.fallen {
-            return Offer::Down;
+            return Admission::Down;
         }
-        if job.luck < self.ailment.fails {
-            return Offer::Failed;
+        if job.failure_draw < self.ailment.failure_rate {
+            return Admission::Failed;
         }
         if fresh {
-            job.work += self.spec.handshake;
+            job.work += self.spec.handshake_work;
         }
-        if self.held_slots >= self.spec.slots && self.queue.len() >= self.spec.room {
-            return Offer::Full;
+        if self.held_slots >= self.spec.concurrency && self.queue.len() >= self.spec.queue_capacity {
+            return Admission::Full;
         }
-        if self.held_slots < self.spec.slots {
+        if self.held_slots < self.spec.concurrency {
             self.begin(job);
         } else {
             self.queue.push_back(job.id);
             self.jobs.insert(job.id, (job, Stage::Queued));
         }
         self.watch_crowd();
-        Offer::Taken
+        Admission::Accepted
     }
 
     /// The attempt was withdrawn. Whether its work was dropped before it began.
     pub fn cancel(&mut self, now: Nanos, id: u64) -> bool {
         self.move_to(now);
         let queued = self.jobs.get(&id).is_some_and(|(_, stage)| *stage == Stage::Queued);
-        if queued && self.spec.cancel == CancelRule::Waiting {
+        if queued && self.spec.cancel_policy == CancelPolicy::DropQueued {
             self.jobs.remove(&id);
             self.queue.retain(|waiting| *waiting != id);
             self.watch_crowd();
@@ -419,24 +419,25 @@
     }
 
     /// When something next happens here by itself.
-    pub fn next(&self) -> Option<Nanos> {
+    pub fn next_event(&self) -> Option<Nanos> {
         if !self.up {
             return None;
         }
-        let waits = self.waiting.peek().map(|Reverse((at, _))| *at).filter(|_| !self.ailment.hangs);
-        let choke = self.spec.choke.and_then(|choke| match self.choked_since {
-            None => self.crowded_since.map(|since| since + choke.over),
-            Some(since) => {
-                Some((since + choke.most).min(self.calm_since.map_or(Nanos::MAX, |at| at + choke.rest)))
-            }
+        let waits = self.waiting.peek().map(|Reverse((at, _))| *at).filter(|_| !self.ailment.hung);
+        let choke = self.spec.congestion.and_then(|choke| match self.choked_since {
+            None => self.crowded_since.map(|since| since + choke.onset),
+            Some(since) => Some(
+                (since + choke.max_duration)
+                    .min(self.calm_since.map_or(Nanos::MAX, |at| at + choke.recovery_time)),
+            ),
         });
         let next = [self.computed_at(), waits, choke].into_iter().flatten().min()?;
         Some(next.max(self.now))
     }
 
     /// Lets time pass and tells what has ended by then, in order.
-    pub fn advance(&mut self, now: Nanos, ended: &mut Vec<(Job, End)>) {
-        while let Some(next) = self.next().filter(|next| *next <= now) {
+    pub fn advance(&mut self, now: Nanos, ended: &mut Vec<(Job, JobOutcome)>) {
+        while let Some(next) = self.next_event().filter(|next| *next <= now) {
             self.move_to(next);
             self.turn(ended);
         }
@@ -473,7 +474,7 @@
     }
 
     /// Whatever is due at the present moment.
-    fn turn(&mut self, ended: &mut Vec<(Job, End)>) {
+    fn turn(&mut self, ended: &mut Vec<(Job, JobOutcome)>) {
         if let Some(&Reverse((due, id))) = self.computing.peek()
             && self.computed_at().is_some_and(|at| at <= self.now)
         {
@@ -483,22 +484,22 @@
             self.computes -= 1;
             if let Some((job, stage)) = self.jobs.get_mut(&id) {
                 *stage = Stage::Waits;
-                self.waiting.push(Reverse((self.now.saturating_add(job.wait), id)));
+                self.waiting.push(Reverse((self.now.saturating_add(job.io_wait), id)));
             }
         }
         while let Some(id) = self.waited_out() {
             self.waiting.pop();
             self.held_slots -= 1;
             if let Some((job, _)) = self.jobs.remove(&id) {
-                let fails = job.luck < self.ailment.fails + self.spec.error_rate;
-                ended.push((job, if fails { End::Error } else { End::Served }));
+                let fails = job.failure_draw < self.ailment.failure_rate + self.spec.error_rate;
+                ended.push((job, if fails { JobOutcome::Error } else { JobOutcome::Served }));
             }
         }
-        while self.held_slots < self.spec.slots {
+        while self.held_slots < self.spec.concurrency {
             let Some(id) = self.queue.pop_front() else { break };
             let Some((job, _)) = self.jobs.remove(&id) else { continue };
             if self.spec.drops_expired && job.not_after <= self.now {
-                ended.push((job, End::Dropped));
+                ended.push((job, JobOutcome::Dropped));
             } else {
                 self.begin(job);
             }
@@ -510,23 +511,23 @@
     /// The request that has waited on others long enough by now. One that hangs answers none.
     fn waited_out(&self) -> Option<u64> {
         let Reverse((at, id)) = self.waiting.peek()?;
-        (*at <= self.now && !self.ailment.hangs).then_some(*id)
+        (*at <= self.now && !self.ailment.hung).then_some(*id)
     }
 
     /// Service a second of real time that each computing request gets at full warmth; 0 while it hangs.
     fn rate(&self) -> f64 {
-        if !self.up || self.ailment.hangs || self.computes == 0 {
+        if !self.up || self.ailment.hung || self.computes == 0 {
             return 0.0;
         }
         let held = self.jobs.len() as f64 / self.spec.cores;
         let over = (held / self.spec.thrash_at.max(1e-9) - 1.0).max(0.0);
-        let taxed = self.connections as f64 / self.spec.connections.max(1) as f64;
-        let choked = match (self.choked_since, self.spec.choke) {
-            (Some(_), Some(choke)) => choke.slower,
+        let taxed = self.connections as f64 / self.spec.max_connections.max(1) as f64;
+        let choked = match (self.choked_since, self.spec.congestion) {
+            (Some(_), Some(choke)) => choke.slowdown,
             _ => 1.0,
         };
-        let efficiency = (1.0 - self.spec.full_tax * taxed) * (1.0 - self.ailment.taken)
-            / ((1.0 + self.spec.thrash * over) * choked * self.ailment.slower);
+        let efficiency = (1.0 - self.spec.connection_overhead * taxed) * (1.0 - self.ailment.stolen_cpu)
+            / ((1.0 + self.spec.thrash * over) * choked * self.ailment.slowdown);
         let share = (self.spec.cores / self.computes as f64).min(1.0);
         self.spec.speed * efficiency * share
     }
@@ -544,7 +545,7 @@
 
     /// How long it takes from now on until the ramp's integral is this, in nanoseconds.
     fn warm_span(&self, wanted: f64) -> f64 {
-        let (from, ramp) = (self.ramp(self.now), self.ramp_slope());
+        let (from, ramp) = (self.capacity_share(self.now), self.ramp_slope());
         let Some(slope) = ramp else { return wanted };
         let left = (1.0 - from) / slope;
         let by_warm = left * (from + 1.0) / 2.0;
@@ -557,7 +558,7 @@
 
     /// The ramp's integral over a span from now on, in nanoseconds.
     fn warm_integral(&self, span: f64) -> f64 {
-        let from = self.ramp(self.now);
+        let from = self.capacity_share(self.now);
         let Some(slope) = self.ramp_slope() else { return span };
         let left = ((1.0 - from) / slope).min(span);
         left * (from + slope * left / 2.0) + (span - left)
@@ -565,8 +566,8 @@
 
     /// What the ramp gains in a nanosecond; none once it is warm.
     fn ramp_slope(&self) -> Option<f64> {
-        let gain = (1.0 - self.spec.cold_from) / self.spec.warm_after.max(1) as f64;
-        (gain > 0.0 && self.ramp(self.now) < 1.0).then_some(gain)
+        let gain = (1.0 - self.spec.initial_capacity) / self.spec.slow_start_window.max(1) as f64;
+        (gain > 0.0 && self.capacity_share(self.now) < 1.0).then_some(gain)
     }
 
     fn move_to(&mut self, now: Nanos) {
@@ -587,26 +588,26 @@
     }
 
     fn count_cold(&mut self, job: &Job) {
-        let ramp = self.ramp(self.now);
+        let ramp = self.capacity_share(self.now);
         if ramp >= 1.0 {
             self.cold_sends.clear();
             return;
         }
-        let told = match (job.told_start, self.booted) {
+        let told = match (job.known_start, self.booted) {
             (Some(told), Some(booted)) => told.abs_diff(booted) < SAME_START,
             _ => false,
         };
         self.cold_sends.push_back((self.now, job.work, told));
-        let since = self.now.saturating_sub(self.spec.tip_span);
+        let since = self.now.saturating_sub(self.spec.overload_window);
         while self.cold_sends.front().is_some_and(|send| send.0 < since) {
             self.cold_sends.pop_front();
         }
         let sent: f64 = self.cold_sends.iter().map(|send| send.1).sum();
-        let span = self.spec.tip_span as f64 / SECOND;
-        let budget = self.spec.tip_multiple * ramp * self.capacity() * span;
-        let most = if self.spec.tip_mean > 0.0 {
-            let requests = budget / self.spec.tip_mean;
-            (requests + 2.0 * requests.sqrt() + 2.0) * self.spec.tip_mean
+        let span = self.spec.overload_window as f64 / SECOND;
+        let budget = self.spec.overload_factor * ramp * self.capacity() * span;
+        let most = if self.spec.mean_work > 0.0 {
+            let requests = budget / self.spec.mean_work;
+            (requests + 2.0 * requests.sqrt() + 2.0) * self.spec.mean_work
         } else {
             let largest = self.cold_sends.iter().map(|send| send.1).fold(0.0, f64::max);
             budget * (1.0 + TIP_SLACK) + TIP_SLACK_REQUESTS * largest
@@ -627,25 +628,25 @@
     }
 
     fn watch_crowd(&mut self) {
-        let Some(choke) = self.spec.choke else { return };
-        let crowded = self.crowd() >= choke.at;
+        let Some(choke) = self.spec.congestion else { return };
+        let crowded = self.crowd() >= choke.queued_per_core;
         self.crowded_since = crowded.then(|| self.crowded_since.unwrap_or(self.now));
         let busy = (self.computes as f64 / self.spec.cores).min(1.0);
-        let calm = busy < choke.below;
+        let calm = busy < choke.recovery_utilization;
         self.calm_since = calm.then(|| self.calm_since.unwrap_or(self.now));
     }
 
     fn watch_choke(&mut self) {
-        let Some(choke) = self.spec.choke else { return };
+        let Some(choke) = self.spec.congestion else { return };
         match self.choked_since {
             None => {
-                if self.crowded_since.is_some_and(|since| self.now >= since + choke.over) {
+                if self.crowded_since.is_some_and(|since| self.now >= since + choke.onset) {
                     self.choked_since = Some(self.now);
                 }
             }
             Some(since) => {
-                let rested = self.calm_since.is_some_and(|at| self.now >= at + choke.rest);
-                if rested || self.now >= since + choke.most {
+                let rested = self.calm_since.is_some_and(|at| self.now >= at + choke.recovery_time);
+                if rested || self.now >= since + choke.max_duration {
                     (self.choked_since, self.crowded_since) = (None, None);
                     self.watch_crowd();
                 }
--- a/model/src/shard/driver.rs
+++ b/model/src/shard/driver.rs
@@ -122,12 +122,12 @@
         let id_of_job = job_id(self.zone, id, attempt);
         let job = Job {
             id: id_of_job,
-            from: number as u32,
+            sender: number as u32,
             work: open.ask.work,
-            wait: open.ask.wait,
+            io_wait: open.ask.wait,
             not_after,
-            luck,
-            told_start: self.nodes[node as usize].starts.get(&instance).copied(),
+            failure_draw: luck,
+            known_start: self.nodes[node as usize].starts.get(&instance).copied(),
         };
         let booked = self.ledger.arrived(id, instance, cell, drains, now);
         open.attempts.push(Attempt { instance, sent: now, out: true, written: true, booked });
--- a/model/src/shard/mod.rs
+++ b/model/src/shard/mod.rs
@@ -27,7 +27,7 @@
 use crate::measure::{Fate, Tally};
 use crate::module::Module;
 use crate::plan::{Idempotency, Range};
-use crate::server::{Ailment, End, Job, Offer, Server};
+use crate::server::{Admission, Job, JobOutcome, Server, ServerFault};
 use crate::slab::Slab;
 use crate::timeline::{DISCOVERY_END, Timeline};
 use crate::world::{FaultAction, LinkEnd, LinkFault, MS, SECOND, World, rng_stream};
@@ -218,7 +218,7 @@
     pending: Vec<(usize, Event)>,
     ticking: bool,
     actions: Vec<(usize, Action)>,
-    ended: Vec<(Job, End)>,
+    ended: Vec<(Job, JobOutcome)>,
     /// To other zones.
     pub(crate) mail: Vec<Mail>,
     /// What this zone's requests come to.
@@ -358,7 +358,7 @@
     /// Servers that are up, and those that crowding has turned slow.
     pub fn servers_up(&self) -> (usize, usize) {
         let up = self.servers.values().filter(|server| server.is_up());
-        (up.clone().count(), up.filter(|server| server.is_choked()).count())
+        (up.clone().count(), up.filter(|server| server.is_congested()).count())
     }
 
     fn push(&mut self, at: Nanos, what: What) {
--- a/model/src/shard/servers.rs
+++ b/model/src/shard/servers.rs
@@ -8,7 +8,7 @@
         let common = self.common.clone();
         let Sent { instance, job, key, .. } = sent;
         let place = common.timeline.instances[instance as usize];
-        let node = job.from;
+        let node = job.sender;
         let to = common.world.nodes[node as usize].zone;
         if self.silent {
             return;
@@ -27,18 +27,18 @@
         }
         let Some(server) = self.servers.get_mut(&instance) else { return };
         if let Some((key, _)) = key
-            && server.answers(job.luck)
+            && server.would_respond(job.failure_draw)
             && self.keys.repeats(key, now)
         {
             self.tally.repeats += 1;
             self.answer(place.server, node, to, ends(Outcome::Served, true, Some(life)));
             return;
         }
-        let fell = server.has_fallen();
-        let cold = server.ramp(now) < 1.0;
-        let offer = server.offer(now, job, fresh);
-        let fallen = server.has_fallen() && !fell;
-        let told = server.told_pushed();
+        let fell = server.has_crashed();
+        let cold = server.capacity_share(now) < 1.0;
+        let offer = server.submit(now, job, fresh);
+        let fallen = server.has_crashed() && !fell;
+        let told = server.overloaded_by_informed_senders();
         if cold {
             self.ledger.check(Rule::ColdSpared);
         }
@@ -46,14 +46,14 @@
             self.ledger.fell(&format!("s{}", place.server), told, now);
         }
         match offer {
-            Offer::Taken => {
+            Admission::Accepted => {
                 if let Some((key, window)) = key {
                     self.keys.taken(key, (instance, job.id), window, now);
                 }
             }
-            Offer::Full => self.answer(place.server, node, to, ends(Outcome::Full, false, Some(life))),
-            Offer::Failed => self.answer(place.server, node, to, ends(Outcome::Error, true, Some(life))),
-            Offer::Down => self.answer(place.server, node, to, ends(Outcome::ConnectFailed, false, None)),
+            Admission::Full => self.answer(place.server, node, to, ends(Outcome::Full, false, Some(life))),
+            Admission::Failed => self.answer(place.server, node, to, ends(Outcome::Error, true, Some(life))),
+            Admission::Down => self.answer(place.server, node, to, ends(Outcome::ConnectFailed, false, None)),
         }
         self.look_after(instance);
     }
@@ -82,11 +82,11 @@
         let life = server.epoch();
         let reports = server.spec().reporting.is_some();
         for (job, end) in ended.drain(..) {
-            self.keys.ended((instance, job.id), end == End::Served);
+            self.keys.ended((instance, job.id), end == JobOutcome::Served);
             let (outcome, ran) = match end {
-                End::Served => (Outcome::Served, true),
-                End::Error => (Outcome::Error, true),
-                End::Dropped => (Outcome::Full, false),
+                JobOutcome::Served => (Outcome::Served, true),
+                JobOutcome::Error => (Outcome::Error, true),
+                JobOutcome::Dropped => (Outcome::Full, false),
             };
             let util = if reports {
                 let noise = StandardNormal.sample(&mut self.rng);
@@ -100,7 +100,7 @@
             }
         }
         self.ended = ended;
-        let next = self.servers.get(&instance).and_then(Server::next);
+        let next = self.servers.get(&instance).and_then(Server::next_event);
         if let Some(next) = next
             && self.wakes.get(&instance).is_none_or(|at| next < *at)
         {
@@ -111,8 +111,8 @@
 
     pub(super) fn answer_job(&mut self, instance: u32, job: &Job, what: What) {
         let place = self.common.timeline.instances[instance as usize];
-        let to = self.common.world.nodes[job.from as usize].zone;
-        self.answer(place.server, job.from, to, what);
+        let to = self.common.world.nodes[job.sender as usize].zone;
+        self.answer(place.server, job.sender, to, what);
     }
 
     /// Connections to a process break as it ends: whoever waits for an answer learns that it will not come.
--- a/model/src/shard/troubles.rs
+++ b/model/src/shard/troubles.rs
@@ -44,10 +44,10 @@
                 let held = if begins { known.stop(now) } else { known.start(now, true) };
                 shard.reset(instance, held);
             }),
-            FaultAction::SlowServer(server, factor) => self.ail(server, begins, |a| a.slower = factor),
-            FaultAction::HangServer(server) => self.ail(server, begins, |a| a.hangs = true),
-            FaultAction::FailServer(server, share) => self.ail(server, begins, |a| a.fails = share),
-            FaultAction::BusyServer(server, share) => self.ail(server, begins, |a| a.taken = share),
+            FaultAction::SlowServer(server, factor) => self.ail(server, begins, |a| a.slowdown = factor),
+            FaultAction::HangServer(server) => self.ail(server, begins, |a| a.hung = true),
+            FaultAction::FailServer(server, share) => self.ail(server, begins, |a| a.failure_rate = share),
+            FaultAction::BusyServer(server, share) => self.ail(server, begins, |a| a.stolen_cpu = share),
             FaultAction::ReplaceServer(server) if begins => self.on_server(server, |shard, instance| {
                 if let Some(end) = shard.common.timeline.instances[instance as usize].ends_at {
                     shard.push(end, What::Boots { instance });
@@ -97,15 +97,15 @@
         }
     }
 
-    pub(super) fn ail(&mut self, server: usize, begins: bool, change: impl FnOnce(&mut Ailment)) {
+    pub(super) fn ail(&mut self, server: usize, begins: bool, change: impl FnOnce(&mut ServerFault)) {
         self.on_server(server, |shard, instance| {
             let now = shard.now;
             let Some(known) = shard.servers.get_mut(&instance) else { return };
-            let mut ailment = if begins { known.ailment() } else { Ailment::default() };
+            let mut ailment = if begins { known.fault() } else { ServerFault::default() };
             if begins {
                 change(&mut ailment);
             }
-            known.ail(now, ailment);
+            known.set_fault(now, ailment);
         });
     }
 }
--- a/model/src/world.rs
+++ b/model/src/world.rs
@@ -8,7 +8,7 @@
 use serde_json::{Value, json};
 
 use crate::plan::{Fault, FaultKind, Idempotency, LEADER, Range, RetryPolicy, Scenario, TargetKind};
-use crate::server::{CancelRule, Choke, Reporting, Spec};
+use crate::server::{CancelPolicy, Congestion, LoadReporting, ServerSpec};
 
 /// A second.
 pub const SECOND: Nanos = 1_000_000_000;
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ServerInfo {
     /// What it is.
-    pub spec: Spec,
+    pub spec: ServerSpec,
     /// Its size as the list tells it: cores times speed, about.
     pub weight: f64,
 }
@@ -552,20 +552,20 @@
     }
     kinds.shuffle(rng);
     let group = sample_range(rng, plan.fleet.group_size).round().max(1.0) as usize;
-    let choke = plan.fleet.congestion.then(|| Choke {
-        at: Range::new(7.0, 4.0).interpolate(rng.random()),
-        over: seconds(Range::new(2.5, 1.5).interpolate(rng.random())),
-        slower: Range::new(2.0, 3.5).interpolate(rng.random()),
-        below: Range::new(0.4, 0.25).interpolate(rng.random()),
-        rest: seconds(Range::new(2.1, 4.7).interpolate(rng.random())),
-        most: seconds(Range::new(16.0, 31.0).interpolate(rng.random())),
+    let choke = plan.fleet.congestion.then(|| Congestion {
+        queued_per_core: Range::new(7.0, 4.0).interpolate(rng.random()),
+        onset: seconds(Range::new(2.5, 1.5).interpolate(rng.random())),
+        slowdown: Range::new(2.0, 3.5).interpolate(rng.random()),
+        recovery_utilization: Range::new(0.4, 0.25).interpolate(rng.random()),
+        recovery_time: seconds(Range::new(2.1, 4.7).interpolate(rng.random())),
+        max_duration: seconds(Range::new(16.0, 31.0).interpolate(rng.random())),
     });
-    let reporting = plan.fleet.load_reports.then(|| Reporting {
+    let reporting = plan.fleet.load_reports.then(|| LoadReporting {
         period: millis(Range::new(8.0, 91.0).interpolate(rng.random())),
         delay: millis(Range::new(1.6, 28.0).interpolate(rng.random())),
         noise: Range::new(0.03, 0.2).interpolate(rng.random()),
     });
-    let cancel = if rng.random::<bool>() { CancelRule::Waiting } else { CancelRule::Nothing };
+    let cancel = if rng.random::<bool>() { CancelPolicy::DropQueued } else { CancelPolicy::Ignore };
     let drops_expired = rng.random::<bool>();
     let handshake = Range::new(730_000.0, 2_300_000.0).interpolate(rng.random());
     let full_tax = Range::new(0.03, 0.15).interpolate(rng.random());
@@ -582,28 +582,28 @@
         let speed = sample_range(rng, kind.speed);
         let cell = (within[zone as usize] / group) as u64 * zones as u64 + u64::from(zone);
         within[zone as usize] += 1;
-        let spec = Spec {
+        let spec = ServerSpec {
             zone,
             cell,
             kind: kind_at as u32,
             cores,
             speed,
-            slots: (sample_range(rng, kind.concurrency) * cores).round().max(1.0) as usize,
-            room: (sample_range(rng, kind.queue_capacity) * cores).round() as usize,
+            concurrency: (sample_range(rng, kind.concurrency) * cores).round().max(1.0) as usize,
+            queue_capacity: (sample_range(rng, kind.queue_capacity) * cores).round() as usize,
             thrash: sample_range(rng, kind.thrash),
             thrash_at: sample_range(rng, kind.thrash_at),
-            cold_from: sample_range(rng, kind.initial_capacity),
-            warm_after: seconds(sample_range(rng, kind.slow_start_s)),
+            initial_capacity: sample_range(rng, kind.initial_capacity),
+            slow_start_window: seconds(sample_range(rng, kind.slow_start_s)),
             error_rate: kind.error_rate,
-            cancel,
+            cancel_policy: cancel,
             drops_expired,
-            connections: (Range::new(600.0, 900.0).interpolate(rng.random()) * cores) as usize,
-            handshake,
-            full_tax,
-            choke,
-            tip_multiple: rules.overload_factor,
-            tip_span: rules.overload_window,
-            tip_mean: mean_work,
+            max_connections: (Range::new(600.0, 900.0).interpolate(rng.random()) * cores) as usize,
+            handshake_work: handshake,
+            connection_overhead: full_tax,
+            congestion: choke,
+            overload_factor: rules.overload_factor,
+            overload_window: rules.overload_window,
+            mean_work,
             reporting,
         };
         ServerInfo { spec, weight: cores * (kind.speed.from + kind.speed.to) / 2.0 }
--- a/model/tests/server.rs
+++ b/model/tests/server.rs
@@ -3,18 +3,34 @@
 use flaxdale_model::server::*;
 use flaxdale_model::world::{MS, SECOND};
 
-fn spec() -> Spec {
-    Spec { cores: 2.0, slots: 4, room: 2, thrash: 0.0, full_tax: 0.0, handshake: 0.0, ..Spec::default() }
+fn spec() -> ServerSpec {
+    ServerSpec {
+        cores: 2.0,
+        concurrency: 4,
+        queue_capacity: 2,
+        thrash: 0.0,
+        connection_overhead: 0.0,
+        handshake_work: 0.0,
+        ..ServerSpec::default()
+    }
 }
 
 fn job(id: u64, work_ms: f64) -> Job {
-    Job { id, from: 0, work: work_ms * MS as f64, wait: 0, not_after: u64::MAX, luck: 1.0, told_start: None }
+    Job {
+        id,
+        sender: 0,
+        work: work_ms * MS as f64,
+        io_wait: 0,
+        not_after: u64::MAX,
+        failure_draw: 1.0,
+        known_start: None,
+    }
 }
 
 /// The ends by then, as id, outcome and milliseconds.
-fn ends(server: &mut Server, until: u64) -> Vec<(u64, End, u64)> {
+fn ends(server: &mut Server, until: u64) -> Vec<(u64, JobOutcome, u64)> {
     let mut all = Vec::new();
-    while let Some(next) = server.next().filter(|next| *next <= until) {
+    while let Some(next) = server.next_event().filter(|next| *next <= until) {
         let mut ended = Vec::new();
         server.advance(next, &mut ended);
         all.extend(ended.into_iter().map(|(job, end)| (job.id, end, next / MS)));
@@ -28,7 +44,7 @@
     let mut server = Server::new(spec(), 0);
     // Two on two cores take their own time; with four each runs at half speed.
     for id in 0..4 {
-        assert_eq!(server.offer(0, job(id, 10.0 + id as f64), false), Offer::Taken);
+        assert_eq!(server.submit(0, job(id, 10.0 + id as f64), false), Admission::Accepted);
     }
     // Four at half speed until 20 ms; then three share two cores for 1.5 ms; then two have one each.
     let told = ends(&mut server, SECOND);
@@ -39,122 +55,154 @@
 
 #[test]
 fn waits_on_others_hold_a_slot_and_no_core() {
-    let mut server = Server::new(Spec { cores: 1.0, slots: 2, room: 1, ..spec() }, 0);
-    let waits = Job { wait: 100 * MS, ..job(0, 10.0) };
-    assert_eq!(server.offer(0, waits, false), Offer::Taken);
+    let mut server = Server::new(ServerSpec { cores: 1.0, concurrency: 2, queue_capacity: 1, ..spec() }, 0);
+    let waits = Job { io_wait: 100 * MS, ..job(0, 10.0) };
+    assert_eq!(server.submit(0, waits, false), Admission::Accepted);
     server.advance(10 * MS, &mut Vec::new());
-    assert_eq!(server.offer(10 * MS, job(1, 10.0), false), Offer::Taken);
-    assert_eq!(server.offer(10 * MS, job(2, 10.0), false), Offer::Taken);
-    assert_eq!(server.offer(10 * MS, job(3, 10.0), false), Offer::Full);
-    let expected = [(1, End::Served, 20), (2, End::Served, 30), (0, End::Served, 110)];
+    assert_eq!(server.submit(10 * MS, job(1, 10.0), false), Admission::Accepted);
+    assert_eq!(server.submit(10 * MS, job(2, 10.0), false), Admission::Accepted);
+    assert_eq!(server.submit(10 * MS, job(3, 10.0), false), Admission::Full);
+    let expected = [(1, JobOutcome::Served, 20), (2, JobOutcome::Served, 30), (0, JobOutcome::Served, 110)];
     assert_eq!(ends(&mut server, SECOND), expected);
 }
 
 #[test]
 fn a_cold_server_ramps_evenly() {
-    let spec = Spec { cores: 1.0, cold_from: 0.0, warm_after: 10 * SECOND, tip_multiple: 1e9, ..spec() };
+    let spec = ServerSpec {
+        cores: 1.0,
+        initial_capacity: 0.0,
+        slow_start_window: 10 * SECOND,
+        overload_factor: 1e9,
+        ..spec()
+    };
     let mut server = Server::new(spec, 0);
     server.start(0, true);
-    assert_eq!(server.ramp(5 * SECOND), 0.5);
+    assert_eq!(server.capacity_share(5 * SECOND), 0.5);
     // The integral of t / 10 s is 200 ms of work at t = 2 s.
-    assert_eq!(server.offer(0, job(0, 200.0), false), Offer::Taken);
-    assert_eq!(ends(&mut server, 20 * SECOND), [(0, End::Served, 2000)]);
+    assert_eq!(server.submit(0, job(0, 200.0), false), Admission::Accepted);
+    assert_eq!(ends(&mut server, 20 * SECOND), [(0, JobOutcome::Served, 2000)]);
     // Warm, it takes its own time.
-    assert_eq!(server.offer(20 * SECOND, job(1, 200.0), false), Offer::Taken);
-    assert_eq!(ends(&mut server, 30 * SECOND), [(1, End::Served, 20_200)]);
+    assert_eq!(server.submit(20 * SECOND, job(1, 200.0), false), Admission::Accepted);
+    assert_eq!(ends(&mut server, 30 * SECOND), [(1, JobOutcome::Served, 20_200)]);
 }
 
 #[test]
 fn a_cold_server_sent_too_much_falls_over_and_stays_down() {
     let (warm_after, tip_span) = (100 * SECOND, SECOND);
-    let spec = Spec { cores: 1.0, cold_from: 0.2, warm_after, tip_multiple: 3.0, tip_span, ..spec() };
+    let spec = ServerSpec {
+        cores: 1.0,
+        initial_capacity: 0.2,
+        slow_start_window: warm_after,
+        overload_factor: 3.0,
+        overload_window: tip_span,
+        ..spec()
+    };
     let mut server = Server::new(spec, 0);
     server.start(0, true);
     // 600 ms of work in a second is the budget: three times a fifth of a core.
     let sent = (0..20).take_while(|id| {
         let at = id * 50 * MS;
         server.advance(at, &mut Vec::new());
-        server.offer(at, job(*id, 100.0), false) != Offer::Down
+        server.submit(at, job(*id, 100.0), false) != Admission::Down
     });
     let sent = sent.count();
     assert!((6..=8).contains(&sent), "{sent} requests of 100 ms");
-    assert!(server.has_fallen() && !server.is_up());
-    assert_eq!(server.offer(90 * SECOND, job(99, 1.0), false), Offer::Down);
+    assert!(server.has_crashed() && !server.is_up());
+    assert_eq!(server.submit(90 * SECOND, job(99, 1.0), false), Admission::Down);
     server.start(100 * SECOND, true);
-    assert!(server.is_up() && !server.has_fallen());
+    assert!(server.is_up() && !server.has_crashed());
 }
 
 #[test]
 fn crowding_turns_it_slow_until_it_has_rested() {
-    let choke = Choke { at: 2.0, over: SECOND, slower: 4.0, below: 0.5, rest: 2 * SECOND, most: 60 * SECOND };
-    let spec = Spec { cores: 1.0, slots: 100, room: 0, choke: Some(choke), thrash_at: 1e9, ..spec() };
+    let choke = Congestion {
+        queued_per_core: 2.0,
+        onset: SECOND,
+        slowdown: 4.0,
+        recovery_utilization: 0.5,
+        recovery_time: 2 * SECOND,
+        max_duration: 60 * SECOND,
+    };
+    let spec = ServerSpec {
+        cores: 1.0,
+        concurrency: 100,
+        queue_capacity: 0,
+        congestion: Some(choke),
+        thrash_at: 1e9,
+        ..spec()
+    };
     let mut server = Server::new(spec, 0);
     for id in 0..20 {
-        server.offer(0, job(id, 100.0), false);
+        server.submit(0, job(id, 100.0), false);
     }
     server.advance(SECOND - 1, &mut Vec::new());
-    assert!(!server.is_choked());
+    assert!(!server.is_congested());
     server.advance(SECOND, &mut Vec::new());
-    assert!(server.is_choked());
+    assert!(server.is_congested());
     // Half of the 2 s of work is left, four times slower: done at 5 s. It rests from then on.
     let told = ends(&mut server, 6 * SECOND);
     assert_eq!((told.len(), told[19].2), (20, 5000));
-    assert!(server.is_choked());
+    assert!(server.is_congested());
     server.advance(7 * SECOND, &mut Vec::new());
-    assert!(!server.is_choked());
+    assert!(!server.is_congested());
 }
 
 #[test]
 fn faults_slow_it_down_hang_it_and_fail_its_requests() {
-    let mut server = Server::new(Spec { cores: 1.0, ..spec() }, 0);
-    server.ail(0, Ailment { slower: 5.0, ..Ailment::default() });
-    server.offer(0, job(0, 10.0), false);
-    assert_eq!(ends(&mut server, SECOND), [(0, End::Served, 50)]);
-    server.ail(SECOND, Ailment { hangs: true, ..Ailment::default() });
-    assert_eq!(server.offer(SECOND, job(1, 10.0), false), Offer::Taken);
+    let mut server = Server::new(ServerSpec { cores: 1.0, ..spec() }, 0);
+    server.set_fault(0, ServerFault { slowdown: 5.0, ..ServerFault::default() });
+    server.submit(0, job(0, 10.0), false);
+    assert_eq!(ends(&mut server, SECOND), [(0, JobOutcome::Served, 50)]);
+    server.set_fault(SECOND, ServerFault { hung: true, ..ServerFault::default() });
+    assert_eq!(server.submit(SECOND, job(1, 10.0), false), Admission::Accepted);
     assert_eq!(ends(&mut server, 9 * SECOND), []);
-    server.ail(9 * SECOND, Ailment { taken: 0.5, fails: 0.5, ..Ailment::default() });
-    assert_eq!(server.offer(9 * SECOND, Job { luck: 0.4, ..job(2, 10.0) }, false), Offer::Failed);
-    assert_eq!(ends(&mut server, 10 * SECOND), [(1, End::Served, 9020)]);
+    server
+        .set_fault(9 * SECOND, ServerFault { stolen_cpu: 0.5, failure_rate: 0.5, ..ServerFault::default() });
+    assert_eq!(
+        server.submit(9 * SECOND, Job { failure_draw: 0.4, ..job(2, 10.0) }, false),
+        Admission::Failed
+    );
+    assert_eq!(ends(&mut server, 10 * SECOND), [(1, JobOutcome::Served, 9020)]);
 }
 
 #[test]
 fn a_cancel_drops_what_has_not_begun_and_a_stop_loses_all() {
-    let mut server = Server::new(Spec { cores: 1.0, slots: 1, room: 2, ..spec() }, 0);
+    let mut server = Server::new(ServerSpec { cores: 1.0, concurrency: 1, queue_capacity: 2, ..spec() }, 0);
     for id in 0..3 {
-        assert_eq!(server.offer(0, job(id, 10.0), false), Offer::Taken);
+        assert_eq!(server.submit(0, job(id, 10.0), false), Admission::Accepted);
     }
     assert!(!server.cancel(0, 0), "running work goes on");
     assert!(server.cancel(0, 1));
-    assert_eq!(ends(&mut server, 15 * MS), [(0, End::Served, 10)]);
+    assert_eq!(ends(&mut server, 15 * MS), [(0, JobOutcome::Served, 10)]);
     assert_eq!(server.stop(15 * MS).iter().map(|job| job.id).collect::<Vec<_>>(), [2]);
-    assert_eq!(server.next(), None);
-    assert_eq!(server.offer(16 * MS, job(3, 1.0), false), Offer::Down);
+    assert_eq!(server.next_event(), None);
+    assert_eq!(server.submit(16 * MS, job(3, 1.0), false), Admission::Down);
 }
 
 #[test]
 fn what_its_client_has_given_up_is_dropped_before_it_begins() {
-    let mut server = Server::new(Spec { cores: 1.0, slots: 1, room: 2, ..spec() }, 0);
-    server.offer(0, job(0, 100.0), false);
-    server.offer(0, Job { not_after: 50 * MS, ..job(1, 10.0) }, false);
-    assert_eq!(ends(&mut server, SECOND), [(0, End::Served, 100), (1, End::Dropped, 100)]);
+    let mut server = Server::new(ServerSpec { cores: 1.0, concurrency: 1, queue_capacity: 2, ..spec() }, 0);
+    server.submit(0, job(0, 100.0), false);
+    server.submit(0, Job { not_after: 50 * MS, ..job(1, 10.0) }, false);
+    assert_eq!(ends(&mut server, SECOND), [(0, JobOutcome::Served, 100), (1, JobOutcome::Dropped, 100)]);
 }
 
 #[test]
 fn its_table_of_connections_has_an_end() {
-    let mut server = Server::new(Spec { connections: 2, handshake: 5.0 * MS as f64, ..spec() }, 0);
+    let mut server =
+        Server::new(ServerSpec { max_connections: 2, handshake_work: 5.0 * MS as f64, ..spec() }, 0);
     assert!(server.connect(0) && server.connect(0) && !server.connect(0));
     server.disconnect(0);
     assert!(server.connect(0));
-    server.offer(0, job(0, 10.0), true);
-    assert_eq!(ends(&mut server, SECOND), [(0, End::Served, 15)], "a new connection is work too");
+    server.submit(0, job(0, 10.0), true);
+    assert_eq!(ends(&mut server, SECOND), [(0, JobOutcome::Served, 15)], "a new connection is work too");
 }
 
 #[test]
 fn its_load_is_told_late() {
-    let reporting = Reporting { period: 100 * MS, delay: 50 * MS, noise: 0.0 };
-    let mut server = Server::new(Spec { cores: 1.0, reporting: Some(reporting), ..spec() }, 0);
-    server.offer(0, job(0, 1000.0), false);
+    let reporting = LoadReporting { period: 100 * MS, delay: 50 * MS, noise: 0.0 };
+    let mut server = Server::new(ServerSpec { cores: 1.0, reporting: Some(reporting), ..spec() }, 0);
+    server.submit(0, job(0, 1000.0), false);
     assert_eq!(server.report(50 * MS, 0.0), None, "nothing was measured yet");
     assert_eq!(server.report(100 * MS, 0.0), Some(0.0), "the last figure holds until the new one is told");
     assert_eq!(server.report(150 * MS, 0.0), Some(0.5));
@@ -165,15 +213,23 @@
 /// pushed it over. `told` says it of each sender by its number.
 fn pushed(tip_multiple: f64, told: impl Fn(u64) -> bool) -> (u64, bool) {
     let (warm_after, tip_mean) = (1000 * SECOND, 100.0 * MS as f64);
-    let spec = Spec { cores: 1.0, slots: 1000, cold_from: 0.2, warm_after, tip_multiple, tip_mean, ..spec() };
-    let mut server = Server::new(Spec { tip_span: SECOND, ..spec }, 0);
+    let spec = ServerSpec {
+        cores: 1.0,
+        concurrency: 1000,
+        initial_capacity: 0.2,
+        slow_start_window: warm_after,
+        overload_factor: tip_multiple,
+        mean_work: tip_mean,
+        ..spec()
+    };
+    let mut server = Server::new(ServerSpec { overload_window: SECOND, ..spec }, 0);
     server.start(5 * SECOND, true);
     let taken = (0..100).take_while(|id| {
         let at = 5 * SECOND + id * 10 * MS;
         let told_start = told(*id).then_some(5 * SECOND);
-        server.offer(at, Job { told_start, ..job(*id, 100.0) }, false) != Offer::Down
+        server.submit(at, Job { known_start: told_start, ..job(*id, 100.0) }, false) != Admission::Down
     });
-    (taken.count() as u64, server.told_pushed())
+    (taken.count() as u64, server.overloaded_by_informed_senders())
 }
 
 /// N requests of mean work in the span, and 2 x root of N + 2 for chance; whose they are decides on the rule.
--- a/rig/src/servers.rs
+++ b/rig/src/servers.rs
@@ -12,7 +12,7 @@
 use bytes::Bytes;
 use flaxdale_model::keys::Key;
 use flaxdale_model::ledger::Rule;
-use flaxdale_model::server::{Ailment, End, Job, Offer, Server};
+use flaxdale_model::server::{Admission, Job, JobOutcome, Server, ServerFault};
 use flaxdale_model::world::{MS, rng_stream};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -48,7 +48,7 @@
 
 struct Inside {
     server: Server,
-    waiting: HashMap<u64, oneshot::Sender<End>>,
+    waiting: HashMap<u64, oneshot::Sender<JobOutcome>>,
     luck: ChaCha12Rng,
 }
 
@@ -178,12 +178,12 @@
 
     /// Whether crowding has turned it slow.
     pub fn is_choked(&self) -> bool {
-        lock(&self.inside).server.is_choked()
+        lock(&self.inside).server.is_congested()
     }
 
     /// Begins or ends a fault.
-    pub fn ail(&self, ailment: Ailment) {
-        lock(&self.inside).server.ail(self.shared.clock.now(), ailment);
+    pub fn ail(&self, ailment: ServerFault) {
+        lock(&self.inside).server.set_fault(self.shared.clock.now(), ailment);
         self.wake.notify_one();
     }
 
@@ -299,28 +299,36 @@
         let (offer, repeat) = {
             let now = shared.clock.now();
             let mut inside = lock(&self.inside);
-            let (fell, cold) = (inside.server.has_fallen(), inside.server.ramp(now) < 1.0);
+            let (fell, cold) = (inside.server.has_crashed(), inside.server.capacity_share(now) < 1.0);
             let luck = inside.luck.random();
             let Known { work, wait, not_after, key, .. } = known;
             let key = key.map(|(key, window)| (Key { cell: spec.cell, key }, window));
             // The rig does not know when the fleet's own registry told a node: it counts as told.
             let told_start = match shared.world.replicas {
                 0 => lock(&shared.starts[known.node]).get(&self.instance).copied(),
-                _ => inside.server.booted(),
+                _ => inside.server.started_at(),
             };
             let mut book = lock(&shared.book);
             let repeat =
-                inside.server.answers(luck) && key.is_some_and(|(key, _)| book.keys.repeats(key, now));
+                inside.server.would_respond(luck) && key.is_some_and(|(key, _)| book.keys.repeats(key, now));
             let offer = if repeat {
-                Offer::Taken
+                Admission::Accepted
             } else {
-                let job = Job { id: job, from: 0, work, wait, not_after, luck, told_start };
-                inside.server.offer(now, job, fresh)
+                let job = Job {
+                    id: job,
+                    sender: 0,
+                    work,
+                    io_wait: wait,
+                    not_after,
+                    failure_draw: luck,
+                    known_start: told_start,
+                };
+                inside.server.submit(now, job, fresh)
             };
             match key {
-                _ if offer != Offer::Taken => {}
+                _ if offer != Admission::Accepted => {}
                 // Its group has it already: it is answered, and not run again.
-                _ if repeat => drop(end.send(End::Served)),
+                _ if repeat => drop(end.send(JobOutcome::Served)),
                 Some((key, window)) => {
                     book.keys.taken(key, (self.instance, job), window, now);
                     inside.waiting.insert(job, end);
@@ -328,8 +336,8 @@
                 None => drop(inside.waiting.insert(job, end)),
             }
             drop(book);
-            let pushed_over = inside.server.has_fallen() && !fell;
-            let told = inside.server.told_pushed();
+            let pushed_over = inside.server.has_crashed() && !fell;
+            let told = inside.server.overloaded_by_informed_senders();
             drop(inside);
             if cold {
                 lock(&shared.book).ledger.check(Rule::ColdSpared);
@@ -345,18 +353,18 @@
         }
         self.wake.notify_one();
         let end = match offer {
-            Offer::Taken => answer.await.ok(),
-            Offer::Full => Some(End::Dropped),
-            Offer::Failed => Some(End::Error),
-            Offer::Down => None,
+            Admission::Accepted => answer.await.ok(),
+            Admission::Full => Some(JobOutcome::Dropped),
+            Admission::Failed => Some(JobOutcome::Error),
+            Admission::Down => None,
         };
         // Its process has ended, or its machine vanished: nobody answers, and the connection ends or stays silent.
         if end.is_none() || *self.machine.borrow() == Machine::Silent {
             std::future::pending::<()>().await;
         }
         let (status, text) = match end {
-            Some(End::Served) => (StatusCode::OK, format!("done by {}\n", self.uid())),
-            Some(End::Dropped) => (StatusCode::SERVICE_UNAVAILABLE, "full\n".to_owned()),
+            Some(JobOutcome::Served) => (StatusCode::OK, format!("done by {}\n", self.uid())),
+            Some(JobOutcome::Dropped) => (StatusCode::SERVICE_UNAVAILABLE, "full\n".to_owned()),
             _ => (StatusCode::INTERNAL_SERVER_ERROR, "failed\n".to_owned()),
         };
         let mut response = Response::new(Full::new(Bytes::from(text)));
@@ -385,7 +393,7 @@
     async fn keep_time(self: Arc<Self>) {
         let mut ended = Vec::new();
         loop {
-            let next = lock(&self.inside).server.next();
+            let next = lock(&self.inside).server.next_event();
             tokio::select! {
                 () = self.wake.notified() => {}
                 () = self.shared.clock.sleep_until(next.unwrap_or(Nanos::MAX / 2)) => {}
@@ -394,7 +402,7 @@
             inside.server.advance(self.shared.clock.now(), &mut ended);
             let mut book = lock(&self.shared.book);
             for (job, end) in ended.drain(..) {
-                book.keys.ended((self.instance, job.id), end == End::Served);
+                book.keys.ended((self.instance, job.id), end == JobOutcome::Served);
                 if let Some(waiting) = inside.waiting.remove(&job.id) {
                     // Whoever waited may have gone in this very moment.
                     let _ = waiting.send(end);
--- a/rig/src/sockets.rs
+++ b/rig/src/sockets.rs
@@ -13,7 +13,7 @@
 use flaxdale_model::ledger::{Ledger, Limits, Rule};
 use flaxdale_model::measure::Second;
 use flaxdale_model::plan::Range;
-use flaxdale_model::server::Ailment;
+use flaxdale_model::server::ServerFault;
 use flaxdale_model::timeline::{DISCOVERY_END, Timeline};
 use flaxdale_model::world::{
     FaultAction, LinkEnd, SECOND, ScheduledFault, World, millis, rng_stream, seconds,
@@ -592,14 +592,14 @@
                 self.on_server(server, |server| if begins { server.kill() } else { server.start() })
             }
             FaultAction::SlowServer(server, factor) => {
-                self.ail(server, begins, |ailment| ailment.slower = factor)
+                self.ail(server, begins, |ailment| ailment.slowdown = factor)
             }
-            FaultAction::HangServer(server) => self.ail(server, begins, |ailment| ailment.hangs = true),
+            FaultAction::HangServer(server) => self.ail(server, begins, |ailment| ailment.hung = true),
             FaultAction::FailServer(server, share) => {
-                self.ail(server, begins, |ailment| ailment.fails = share)
+                self.ail(server, begins, |ailment| ailment.failure_rate = share)
             }
             FaultAction::BusyServer(server, share) => {
-                self.ail(server, begins, |ailment| ailment.taken = share)
+                self.ail(server, begins, |ailment| ailment.stolen_cpu = share)
             }
             FaultAction::LoseZone(zone, cold) => {
                 for server in self.servers.iter().filter(|server| self.zone_of(server) == zone) {
@@ -688,9 +688,9 @@
         }
     }
 
-    fn ail(&self, place: usize, begins: bool, change: impl Fn(&mut Ailment)) {
+    fn ail(&self, place: usize, begins: bool, change: impl Fn(&mut ServerFault)) {
         self.on_server(place, |server| {
-            let mut ailment = Ailment::default();
+            let mut ailment = ServerFault::default();
             if begins {
                 change(&mut ailment);
             }
