--- a/cli/src/print.rs
+++ b/cli/src/print.rs
@@ -33,14 +33,14 @@
 /// How a run goes, in one line: over the last one on a terminal, else below it.
 pub fn live(progress: &Progress) {
     let lately = &progress.lately;
-    let share = |part: u64| 100.0 * part as f64 / lately.asked.max(1) as f64;
+    let share = |part: u64| 100.0 * part as f64 / lately.requests.max(1) as f64;
     let mut line = format!(
         "{:>4.0} s  asked {:>5}/s  in time {:>5.1}%  refused {:>4.1}%  failed {:>4.1}%  p50 {:>5.0} ms  p99 {:>5.0} ms  \
          servers {}/{}  nodes {}/{}",
         progress.at_s,
-        lately.asked,
+        lately.requests,
         share(lately.in_time),
-        share(lately.refused),
+        share(lately.rejected),
         share(lately.failed),
         progress.p50_ms,
         progress.p99_ms,
--- a/cli/src/rig.rs
+++ b/cli/src/rig.rs
@@ -234,10 +234,10 @@
     } else {
         say(&format!("the rig's own lateness: {:.2} ms at the 99th percentile", result.lateness_ms_p99));
     }
-    for rule in result.invariants.iter().filter(|rule| rule.broken > 0) {
-        complain(&format!("{}: broken {} times of {}", rule.name, rule.broken, rule.checked));
-        for breach in rule.breaches.iter().take(3) {
-            complain(&format!("  {} at {:.0} ms: {}", breach.id, breach.at_ms, breach.what));
+    for rule in result.invariants.iter().filter(|rule| rule.violated > 0) {
+        complain(&format!("{}: broken {} times of {}", rule.name, rule.violated, rule.checked));
+        for breach in rule.violations.iter().take(3) {
+            complain(&format!("  {} at {:.0} ms: {}", breach.id, breach.at_ms, breach.detail));
         }
     }
     let checked: u64 = result.invariants.iter().map(|rule| rule.checked).sum();
--- a/cli/src/up.rs
+++ b/cli/src/up.rs
@@ -95,15 +95,15 @@
             Ok(ran) => {
                 let total = lock(&ran.shared.tally).total();
                 let broken: u64 =
-                    lock(&ran.shared.book).ledger.invariants().iter().map(|rule| rule.broken).sum();
-                let share = |part: u64| 100.0 * part as f64 / total.asked.max(1) as f64;
+                    lock(&ran.shared.book).ledger.reports().iter().map(|rule| rule.violated).sum();
+                let share = |part: u64| 100.0 * part as f64 / total.requests.max(1) as f64;
                 say(&format!(
                     "{} requests in {:.0} s: {:.1}% in time, {:.1}% refused, {:.1}% failed; {broken} rules broken; all \
                      processes have ended",
-                    total.asked,
+                    total.requests,
                     ran.load_s,
                     share(total.in_time),
-                    share(total.refused),
+                    share(total.rejected),
                     share(total.failed)
                 ));
                 if broken > 0 { Exit::Broken } else { Exit::Well }
--- a/model/src/clients.rs
+++ b/model/src/clients.rs
@@ -15,11 +15,11 @@
 
 /// A client's request, before its first try.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ask {
+pub struct ClientRequest {
     /// Its number, from 0.
     pub number: u64,
     /// When it is due.
-    pub at: Nanos,
+    pub due_at: Nanos,
     /// The zone whose nodes it comes to.
     pub zone: u32,
     /// Its class.
@@ -29,18 +29,18 @@
     /// Work on a standard core, in nanoseconds.
     pub work: f64,
     /// Waits on others.
-    pub wait: Nanos,
+    pub io_wait: Nanos,
     /// Whether its client heeds `Retry-After`.
-    pub heeds: bool,
+    pub honors_retry_after: bool,
 }
 
 /// How a try ended, as its client saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Seen {
+pub enum TryOutcome {
     /// Served.
     Served,
     /// Refused, with the pause that was advised.
-    Refused(Nanos),
+    Rejected(Nanos),
     /// Failed, or given up.
     Failed,
     /// No connection came about: nobody took it.
@@ -48,7 +48,7 @@
 }
 
 /// An endless stream of requests, by the world's load. What is asked for can be changed while it runs.
-pub struct Clients {
+pub struct RequestGenerator {
     rng: ChaCha12Rng,
     zone: Option<u32>,
     work: Vec<Option<LogNormal<f64>>>,
@@ -60,7 +60,7 @@
     at: Nanos,
 }
 
-fn pick(shares: &[f64], draw: f64) -> usize {
+fn pick_weighted(shares: &[f64], draw: f64) -> usize {
     let mut left = draw * shares.iter().sum::<f64>();
     for (at, share) in shares.iter().enumerate() {
         left -= share;
@@ -71,18 +71,18 @@
     shares.len().saturating_sub(1)
 }
 
-impl Clients {
+impl RequestGenerator {
     /// All clients, from this time on.
     pub fn new(world: &World, start: Nanos) -> Self {
-        Self::drawn(world, start, 10, None)
+        Self::with_stream(world, start, 10, None)
     }
 
     /// Those of one zone, apart from all others: together they ask for what all do.
-    pub fn of_zone(world: &World, zone: u32, start: Nanos) -> Self {
-        Self::drawn(world, start, 20 + u64::from(zone), Some(zone))
+    pub fn for_zone(world: &World, zone: u32, start: Nanos) -> Self {
+        Self::with_stream(world, start, 20 + u64::from(zone), Some(zone))
     }
 
-    fn drawn(world: &World, start: Nanos, number: u64, zone: Option<u32>) -> Self {
+    fn with_stream(world: &World, start: Nanos, number: u64, zone: Option<u32>) -> Self {
         // A log-normal distribution of mean 1 with this coefficient of variation.
         let spread = |cv: f64| {
             let variance = (1.0 + cv * cv).ln();
@@ -102,12 +102,12 @@
     }
 
     /// From now on this many times as much is asked for.
-    pub fn burst(&mut self, factor: f64) {
+    pub fn set_load_factor(&mut self, factor: f64) {
         self.burst = factor;
     }
 
     /// From now on a tenant asks for this many times as much.
-    pub fn flood(&mut self, tenant: usize, factor: f64) {
+    pub fn set_tenant_factor(&mut self, tenant: usize, factor: f64) {
         self.floods.get_mut(tenant).into_iter().for_each(|flood| *flood = factor);
     }
 
@@ -121,39 +121,41 @@
     }
 
     /// The next request. Arrivals are a Poisson process whose rate is that of the last one's time.
-    pub fn next(&mut self, world: &World) -> Ask {
+    pub fn next(&mut self, world: &World) -> ClientRequest {
         let rate = self.rate(world, self.at).max(1e-3);
         let gap: f64 = Exp1.sample(&mut self.rng);
         self.at += (gap / rate * SECOND as f64) as Nanos + 1;
-        let class = pick(&self.classes, self.rng.random());
+        let class = pick_weighted(&self.classes, self.rng.random());
         let tenant = (!self.tenants.is_empty()).then(|| {
             let parts: Vec<f64> = self.tenants.iter().zip(&self.floods).map(|(part, f)| part * f).collect();
-            pick(&parts, self.rng.random())
+            pick_weighted(&parts, self.rng.random())
         });
         let info = &world.classes[class];
         let spread = self.work[class].map_or(1.0, |spread| spread.sample(&mut self.rng));
         let number = self.next;
         self.next += 1;
-        Ask {
+        ClientRequest {
             number,
-            at: self.at,
-            zone: self.zone.unwrap_or_else(|| pick(&world.load.zone_shares, self.rng.random()) as u32),
+            due_at: self.at,
+            zone: self
+                .zone
+                .unwrap_or_else(|| pick_weighted(&world.load.zone_shares, self.rng.random()) as u32),
             class,
             tenant,
             work: (info.work * spread).max(1.0),
-            wait: info.io_wait,
-            heeds: self.rng.random::<f64>() < world.load.retry_after_share,
+            io_wait: info.io_wait,
+            honors_retry_after: self.rng.random::<f64>() < world.load.retry_after_share,
         }
     }
 }
 
 /// When a client comes again after the try with this number, from 0; none if it does not. `now` is when it saw the
 /// try end, and `deadline` when its time over all tries is up.
-pub fn again(
+pub fn next_retry(
     world: &World,
-    ask: &Ask,
+    ask: &ClientRequest,
     tries: u32,
-    seen: Seen,
+    seen: TryOutcome,
     now: Nanos,
     rng: &mut impl Rng,
 ) -> Option<Nanos> {
@@ -161,9 +163,9 @@
     let class = &world.classes[ask.class];
     // What may have run is not asked for again, unless that is safe.
     let safe = match seen {
-        Seen::Served => return None,
-        Seen::Refused(_) | Seen::Unreachable => true,
-        Seen::Failed => class.idempotency == Idempotency::Idempotent,
+        TryOutcome::Served => return None,
+        TryOutcome::Rejected(_) | TryOutcome::Unreachable => true,
+        TryOutcome::Failed => class.idempotency == Idempotency::Idempotent,
     };
     if !safe || tries >= load.max_retries || load.retry_policy == RetryPolicy::Never {
         return None;
@@ -176,16 +178,16 @@
         }
     };
     let advised = match seen {
-        Seen::Refused(pause) if ask.heeds => pause,
+        TryOutcome::Rejected(pause) if ask.honors_retry_after => pause,
         _ => 0,
     };
     let at = now.saturating_add(wait.max(advised));
-    (at < ask.at.saturating_add(class.deadline)).then_some(at)
+    (at < ask.due_at.saturating_add(class.deadline)).then_some(at)
 }
 
 /// How long a client waits for a try that begins now.
-pub fn budget(world: &World, ask: &Ask, now: Nanos) -> Nanos {
+pub fn try_timeout(world: &World, ask: &ClientRequest, now: Nanos) -> Nanos {
     let class = &world.classes[ask.class];
-    let left = ask.at.saturating_add(class.deadline).saturating_sub(now);
+    let left = ask.due_at.saturating_add(class.deadline).saturating_sub(now);
     left.min((class.deadline as f64 * world.load.try_timeout_share) as Nanos)
 }
--- a/model/src/keys.rs
+++ b/model/src/keys.rs
@@ -10,7 +10,7 @@
 
 /// A key, in its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Key {
+pub struct DedupKey {
     /// The group whose members share what they have seen.
     pub cell: u64,
     /// The request's key.
@@ -18,31 +18,31 @@
 }
 
 /// The work that a key stands for: the server's process, and the number under which it holds the job.
-pub type Holder = (u32, u64);
+pub type JobRef = (u32, u64);
 
 #[derive(Clone, Copy, Debug)]
 struct Seen {
     until: Nanos,
-    by: Holder,
+    by: JobRef,
 }
 
 /// What the groups remember. Bounded by the keyed requests of twice the longest window.
 #[derive(Debug, Default)]
-pub struct Keys {
-    seen: HashMap<Key, Seen>,
+pub struct DedupTable {
+    seen: HashMap<DedupKey, Seen>,
     /// Jobs that have not ended yet, with their keys.
-    open: HashMap<Holder, Key>,
+    open: HashMap<JobRef, DedupKey>,
     sweep_at: usize,
 }
 
-impl Keys {
+impl DedupTable {
     /// Whether a request with this key was taken in before and its window is not over.
-    pub fn repeats(&self, key: Key, now: Nanos) -> bool {
+    pub fn is_duplicate(&self, key: DedupKey, now: Nanos) -> bool {
         self.seen.get(&key).is_some_and(|seen| now < seen.until)
     }
 
     /// A server has taken the request in: for so long its repeats are dropped.
-    pub fn taken(&mut self, key: Key, by: Holder, window: Nanos, now: Nanos) {
+    pub fn insert(&mut self, key: DedupKey, by: JobRef, window: Nanos, now: Nanos) {
         if self.seen.len() >= self.sweep_at.max(SWEPT_FROM) {
             self.seen.retain(|_, seen| now < seen.until);
             self.sweep_at = 2 * self.seen.len();
@@ -53,7 +53,7 @@
 
     /// Its work has ended. One that did not come to its end (it failed, was dropped before it began, or its process
     /// died) is forgotten, so that a repeat runs.
-    pub fn ended(&mut self, by: Holder, done: bool) {
+    pub fn job_ended(&mut self, by: JobRef, done: bool) {
         let Some(key) = self.open.remove(&by) else { return };
         if !done && self.seen.get(&key).is_some_and(|seen| seen.by == by) {
             self.seen.remove(&key);
--- a/model/src/ledger.rs
+++ b/model/src/ledger.rs
@@ -84,51 +84,51 @@
 
 /// One broken rule.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Breach {
+pub struct Violation {
     /// The request's id as it stands in the logs, or the name of what else is concerned.
     pub id: String,
     /// When, in milliseconds from the start of the load.
     pub at_ms: f64,
     /// What was seen.
     #[serde(rename = "what")]
-    pub what: String,
+    pub detail: String,
 }
 
 /// How often a rule was checked, and what broke it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Invariant {
+pub struct RuleReport {
     /// The rule.
     pub name: String,
     /// Times that it was checked.
     pub checked: u64,
     /// Times that it was broken.
     #[serde(rename = "broken")]
-    pub broken: u64,
+    pub violated: u64,
     /// The first broken ones.
     #[serde(rename = "breaches", default, skip_serializing_if = "Vec::is_empty")]
-    pub breaches: Vec<Breach>,
+    pub violations: Vec<Violation>,
 }
 
 /// How a request ended, by what its client was told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum FinalAnswer {
     /// Served.
     Served,
     /// Refused: trying again does no harm.
-    Refused,
+    Rejected,
     /// Failed, with no promise.
     Failed,
 }
 
 /// The time limits of the rules.
 #[derive(Clone, Copy, Debug)]
-pub struct Limits {
+pub struct Tolerances {
     /// How long past a request's time an answer is still one.
     pub answer_slack: Nanos,
     /// How long past its word a node may send to a draining server.
     pub drain_grace: Nanos,
     /// By how much the times of two observers may differ.
-    pub observers: Nanos,
+    pub clock_skew: Nanos,
 }
 
 struct Attempt {
@@ -144,17 +144,17 @@
     window: Nanos,
     not_after: Nanos,
     excused: bool,
-    answered: Option<(Answer, Nanos)>,
+    answered: Option<(FinalAnswer, Nanos)>,
     attempts: Vec<Attempt>,
     last: Nanos,
 }
 
 /// The book.
-pub struct Ledger {
-    limits: Limits,
+pub struct InvariantChecker {
+    limits: Tolerances,
     start: Nanos,
     open: HashMap<u64, Record>,
-    invariants: Vec<Invariant>,
+    invariants: Vec<RuleReport>,
 }
 
 /// A request's id as it stands in the logs and on the wire.
@@ -162,30 +162,37 @@
     format!("{id:016x}")
 }
 
-impl Ledger {
+impl InvariantChecker {
     /// An empty book; times in breaches count from `start`.
-    pub fn new(limits: Limits, start: Nanos) -> Self {
-        let named = |rule: &Rule| Invariant { name: rule.name().to_owned(), ..Invariant::default() };
+    pub fn new(limits: Tolerances, start: Nanos) -> Self {
+        let named = |rule: &Rule| RuleReport { name: rule.name().to_owned(), ..RuleReport::default() };
         Self { limits, start, open: HashMap::new(), invariants: RULES.iter().map(named).collect() }
     }
 
     /// Counts a check of a rule.
-    pub fn check(&mut self, rule: Rule) {
+    pub fn record_check(&mut self, rule: Rule) {
         self.invariants[rule as usize].checked += 1;
     }
 
     /// Notes a broken rule.
-    pub fn breach(&mut self, rule: Rule, id: String, at: Nanos, what: String) {
+    pub fn record_violation(&mut self, rule: Rule, id: String, at: Nanos, what: String) {
         let invariant = &mut self.invariants[rule as usize];
-        invariant.broken += 1;
-        if invariant.breaches.len() < MOST_BREACHES {
+        invariant.violated += 1;
+        if invariant.violations.len() < MOST_BREACHES {
             let at_ms = at.saturating_sub(self.start) as f64 / 1e6;
-            invariant.breaches.push(Breach { id, at_ms, what });
+            invariant.violations.push(Violation { id, at_ms, detail: what });
         }
     }
 
     /// A client has sent a request.
-    pub fn asked(&mut self, id: u64, effect: Idempotency, window: Nanos, not_after: Nanos, now: Nanos) {
+    pub fn request_sent(
+        &mut self,
+        id: u64,
+        effect: Idempotency,
+        window: Nanos,
+        not_after: Nanos,
+        now: Nanos,
+    ) {
         let record = Record {
             effect,
             window,
@@ -204,7 +211,7 @@
     }
 
     /// A request has reached a server, whose node had been told at `drains` that it drains. The attempt's number.
-    pub fn arrived(
+    pub fn attempt_arrived(
         &mut self,
         id: u64,
         server: u32,
@@ -212,10 +219,10 @@
         drains: Option<Nanos>,
         now: Nanos,
     ) -> Option<usize> {
-        self.check(Rule::KnownOnly);
+        self.record_check(Rule::KnownOnly);
         let (limits, start) = (self.limits, self.start);
         let Some(record) = self.open.get_mut(&id) else {
-            self.breach(
+            self.record_violation(
                 Rule::KnownOnly,
                 wire_id(id),
                 now,
@@ -242,7 +249,7 @@
                     let age = now.saturating_sub(first.began);
                     if first.cell != cell {
                         broken.push((Rule::KeyedInGroup, format!("group {cell} after group {}", first.cell)));
-                    } else if age > record.window + limits.observers {
+                    } else if age > record.window + limits.clock_skew {
                         let (age, window) = (age / 1_000_000, record.window / 1_000_000);
                         broken.push((
                             Rule::KeyedInGroup,
@@ -253,7 +260,7 @@
             }
         }
         checked.push(Rule::DrainKept);
-        if let Some(told) = drains.filter(|told| now > told + limits.drain_grace + limits.observers) {
+        if let Some(told) = drains.filter(|told| now > told + limits.drain_grace + limits.clock_skew) {
             broken.push((
                 Rule::DrainKept,
                 format!("server {server} drains, as its node was told at {:.0} ms", since(told)),
@@ -261,15 +268,15 @@
         }
         record.attempts.push(Attempt { server, cell, began: now, ended: None, may_have_run: true });
         let number = record.attempts.len() - 1;
-        checked.into_iter().for_each(|rule| self.check(rule));
+        checked.into_iter().for_each(|rule| self.record_check(rule));
         for (rule, what) in broken {
-            self.breach(rule, wire_id(id), now, what);
+            self.record_violation(rule, wire_id(id), now, what);
         }
         Some(number)
     }
 
     /// An attempt is no longer out. `ran` is false where it surely never ran.
-    pub fn ended(&mut self, id: u64, attempt: usize, ran: bool, now: Nanos) {
+    pub fn attempt_ended(&mut self, id: u64, attempt: usize, ran: bool, now: Nanos) {
         let limits = self.limits;
         let Some(record) = self.open.get_mut(&id) else { return };
         record.last = record.last.max(now);
@@ -279,11 +286,11 @@
         ended.ended = Some(now);
         ended.may_have_run &= ran;
         // Out together with the next one, by more than two observers' clocks can tell.
-        let overlap = record.attempts.get(attempt + 1).filter(|next| now > next.began + limits.observers);
+        let overlap = record.attempts.get(attempt + 1).filter(|next| now > next.began + limits.clock_skew);
         let overlap = overlap.map(|next| (next.server, (now - next.began) / 1_000_000));
-        self.check(Rule::NeverTwoOut);
+        self.record_check(Rule::NeverTwoOut);
         if let Some((server, ms)) = overlap {
-            self.breach(
+            self.record_violation(
                 Rule::NeverTwoOut,
                 wire_id(id),
                 now,
@@ -293,7 +300,7 @@
     }
 
     /// A client was told how its request ended.
-    pub fn answered(&mut self, id: u64, answer: Answer, now: Nanos) {
+    pub fn request_answered(&mut self, id: u64, answer: FinalAnswer, now: Nanos) {
         let limits = self.limits;
         let Some(record) = self.open.get_mut(&id) else { return };
         record.last = record.last.max(now);
@@ -305,31 +312,31 @@
             broken.push((Rule::OneOutcome, format!("answered {late} ms after its time")));
         }
         let ran = record.attempts.iter().find(|attempt| attempt.may_have_run).map(|attempt| attempt.server);
-        if let (Answer::Refused, Some(server), false) =
+        if let (FinalAnswer::Rejected, Some(server), false) =
             (answer, ran, record.effect == Idempotency::Idempotent)
         {
             broken.push((Rule::RunsOnce, format!("refused though server {server} may have run it")));
         }
         record.answered = Some((answer, now));
-        self.check(Rule::OneOutcome);
-        self.check(Rule::RunsOnce);
+        self.record_check(Rule::OneOutcome);
+        self.record_check(Rule::RunsOnce);
         for (rule, what) in broken {
-            self.breach(rule, wire_id(id), now, what);
+            self.record_violation(rule, wire_id(id), now, what);
         }
     }
 
     /// A request's time is over: its account is closed. Its attempts may still be out.
-    pub fn close(&mut self, id: u64, now: Nanos) {
+    pub fn request_expired(&mut self, id: u64, now: Nanos) {
         let Some(record) = self.open.get(&id) else { return };
         let lost = record.answered.is_none() && !record.excused;
         if lost {
-            self.check(Rule::OneOutcome);
-            self.breach(Rule::OneOutcome, wire_id(id), now, "no answer within its time".to_owned());
+            self.record_check(Rule::OneOutcome);
+            self.record_violation(Rule::OneOutcome, wire_id(id), now, "no answer within its time".to_owned());
         }
     }
 
     /// Drops a closed request that has nothing out.
-    pub fn drop_if_done(&mut self, id: u64) {
+    pub fn remove_if_done(&mut self, id: u64) {
         let done = |record: &Record| record.attempts.iter().all(|attempt| attempt.ended.is_some());
         if self.open.get(&id).is_some_and(done) {
             self.open.remove(&id);
@@ -337,26 +344,26 @@
     }
 
     /// Drops what nothing was heard of since then.
-    pub fn forget_before(&mut self, then: Nanos) {
+    pub fn remove_idle_since(&mut self, then: Nanos) {
         self.open.retain(|_, record| record.last >= then);
     }
 
     /// A cold server fell over, by the work of those who had been told of its start or not: only they break the rule.
-    pub fn fell(&mut self, server: &str, told: bool, now: Nanos) {
-        self.check(Rule::ColdSpared);
+    pub fn server_crashed(&mut self, server: &str, told: bool, now: Nanos) {
+        self.record_check(Rule::ColdSpared);
         if told {
             let what = "pushed over while cold by nodes that had been told of its start";
-            self.breach(Rule::ColdSpared, server.to_owned(), now, what.to_owned());
+            self.record_violation(Rule::ColdSpared, server.to_owned(), now, what.to_owned());
         }
     }
 
     /// Requests that are still in the book.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.open.len()
     }
 
     /// The rules as checked so far.
-    pub fn invariants(&self) -> &[Invariant] {
+    pub fn reports(&self) -> &[RuleReport] {
         &self.invariants
     }
 
@@ -364,9 +371,9 @@
     pub fn merge(&mut self, other: &Self) {
         for (own, other) in self.invariants.iter_mut().zip(&other.invariants) {
             own.checked += other.checked;
-            own.broken += other.broken;
-            let room = MOST_BREACHES.saturating_sub(own.breaches.len());
-            own.breaches.extend(other.breaches.iter().take(room).cloned());
+            own.violated += other.violated;
+            let room = MOST_BREACHES.saturating_sub(own.violations.len());
+            own.violations.extend(other.violations.iter().take(room).cloned());
         }
     }
 }
--- a/model/src/run.rs
+++ b/model/src/run.rs
@@ -7,8 +7,8 @@
 
 use brookfield::Nanos;
 
-use crate::ledger::Ledger;
-use crate::measure::Tally;
+use crate::ledger::InvariantChecker;
+use crate::measure::RunStats;
 use crate::module::{Module, Own};
 use crate::plan::Scenario;
 use crate::shard::{ANSWER_SLACK, Common, Mail, Shard};
@@ -34,9 +34,9 @@
     /// The world that was played.
     pub world: World,
     /// Counts, worth and delays.
-    pub tally: Tally,
+    pub tally: RunStats,
     /// What was checked.
-    pub ledger: Ledger,
+    pub ledger: InvariantChecker,
     /// Events that were played.
     pub events: u64,
     /// Servers that were up at the end, and those of them that crowding had turned slow.
@@ -56,16 +56,16 @@
             print = (print ^ value).wrapping_mul(0x0100_0000_01b3);
         };
         take(self.events);
-        for second in &self.tally.seconds {
-            for count in [second.asked, second.in_time, second.late, second.refused, second.failed] {
+        for second in &self.tally.per_second {
+            for count in [second.requests, second.in_time, second.late, second.rejected, second.failed] {
                 take(count);
             }
         }
-        for step in self.tally.ended.iter_recorded() {
+        for step in self.tally.total_latency.iter_recorded() {
             take(step.value_iterated_to());
             take(step.count_since_last_iteration());
         }
-        [self.tally.tries, self.tally.attempts, self.tally.crossings].into_iter().for_each(take);
+        [self.tally.tries, self.tally.attempts, self.tally.cross_zone_attempts].into_iter().for_each(take);
         print
     }
 }
@@ -96,7 +96,7 @@
         shards.push(Shard::new(common.clone(), zone, module(zone)?));
     }
     let shards = drive(shards, lookahead, stop, options.threads.clamp(1, zones as usize));
-    let mut whole: Option<(Tally, Ledger)> = None;
+    let mut whole: Option<(RunStats, InvariantChecker)> = None;
     let (mut events, mut servers_up) = (0, (0, 0));
     for shard in shards {
         if let Some(problem) = shard.failed {
--- a/model/src/shard/driver.rs
+++ b/model/src/shard/driver.rs
@@ -69,9 +69,9 @@
                     }
                 }
                 Action::Reject { request, retry_after: pause } => {
-                    self.finish(request.0, Answer::Refused, pause)
+                    self.finish(request.0, FinalAnswer::Rejected, pause)
                 }
-                Action::Fail { request } => self.finish(request.0, Answer::Failed, 0),
+                Action::Fail { request } => self.finish(request.0, FinalAnswer::Failed, 0),
                 Action::Cancel { request, attempt } => {
                     self.settle(request.0, attempt as usize, Outcome::Cancelled, None);
                 }
@@ -102,7 +102,7 @@
         // What is sent after the answer was given would be out beside nothing that anybody waits for.
         let live = |open: &&mut Try| !open.ended && open.attempts.len() < 1 << ATTEMPT_BITS;
         let Some(open) = self.tries.get_mut(id).filter(live) else {
-            self.ledger.breach(
+            self.ledger.record_violation(
                 Rule::OneOutcome,
                 crate::ledger::wire_id(id),
                 now,
@@ -117,28 +117,28 @@
         // One key for all tries of a client's request; each zone's clients count from 0.
         let key = u64::from(ask.zone) << (64 - ZONE_BITS) | ask.number;
         let key =
-            (class.idempotency == Idempotency::Keyed).then_some((Key { cell, key }, class.dedup_window));
+            (class.idempotency == Idempotency::Keyed).then_some((DedupKey { cell, key }, class.dedup_window));
         let luck = self.rng.random();
         let id_of_job = job_id(self.zone, id, attempt);
         let job = Job {
             id: id_of_job,
             sender: number as u32,
             work: open.ask.work,
-            io_wait: open.ask.wait,
+            io_wait: open.ask.io_wait,
             not_after,
             failure_draw: luck,
             known_start: self.nodes[node as usize].starts.get(&instance).copied(),
         };
-        let booked = self.ledger.arrived(id, instance, cell, drains, now);
+        let booked = self.ledger.attempt_arrived(id, instance, cell, drains, now);
         open.attempts.push(Attempt { instance, sent: now, out: true, written: true, booked });
         self.tally.attempts += 1;
-        self.tally.crossings += u64::from(zone != self.zone);
+        self.tally.cross_zone_attempts += u64::from(zone != self.zone);
         let give_up = timeout.map_or(not_after, |timeout| not_after.min(now + timeout));
         self.push(give_up, What::Waited { id, attempt: attempt as u32, connect: false });
         let life = self.take_idle(node, instance);
         let mut way = self.way(zone);
         if life.is_none() {
-            self.tally.connections += 1;
+            self.tally.connections_opened += 1;
             way += (HANDSHAKE_WAYS - 1) * common.world.one_way_delay(self.zone, zone);
             if let Some(open) = self.tries.get_mut(id) {
                 open.attempts[attempt].written = false;
@@ -304,7 +304,7 @@
         let given_up = matches!(outcome, Outcome::TimedOut | Outcome::Cancelled | Outcome::Moot)
             || (outcome == Outcome::ConnectFailed && now.saturating_sub(sent) >= SILENT);
         if let Some(booked) = booked {
-            self.ledger.ended(id, booked, outcome.may_have_run(), now);
+            self.ledger.attempt_ended(id, booked, outcome.may_have_run(), now);
         }
         if given_up {
             let zone = self.common.timeline.instances[instance as usize].zone;
@@ -312,7 +312,7 @@
             self.send(zone, now + way, What::Withdrawn { instance, job: job_id(self.zone, id, attempt) });
         }
         if outcome == Outcome::Served {
-            self.finish(id, Answer::Served, 0);
+            self.finish(id, FinalAnswer::Served, 0);
         }
         let ended = self.tries.get(id).is_none_or(|open| open.ended);
         let settlement = AttemptResult {
@@ -328,20 +328,20 @@
     }
 
     /// A node gives the final answer, and its client gets it.
-    pub(super) fn finish(&mut self, id: u64, answer: Answer, pause: Nanos) {
+    pub(super) fn finish(&mut self, id: u64, answer: FinalAnswer, pause: Nanos) {
         let Some(open) = self.tries.get_mut(id).filter(|open| !open.ended) else { return };
         open.ended = true;
         let (ask, tries) = (open.ask, open.tries);
-        self.ledger.answered(id, answer, self.now);
+        self.ledger.request_answered(id, answer, self.now);
         if let Some(open) = self.tries.get_mut(id).filter(|open| !open.told) {
             open.told = true;
             self.client_sees(
                 ask,
                 tries,
                 match answer {
-                    Answer::Served => Seen::Served,
-                    Answer::Refused => Seen::Refused(pause),
-                    Answer::Failed => Seen::Failed,
+                    FinalAnswer::Served => TryOutcome::Served,
+                    FinalAnswer::Rejected => TryOutcome::Rejected(pause),
+                    FinalAnswer::Failed => TryOutcome::Failed,
                 },
             );
         }
@@ -352,16 +352,16 @@
         let Some(open) = self.tries.get_mut(id).filter(|open| !open.told) else { return };
         open.told = true;
         let (ask, tries) = (open.ask, open.tries);
-        self.client_sees(ask, tries, Seen::Failed);
+        self.client_sees(ask, tries, TryOutcome::Failed);
     }
 
     pub(super) fn close(&mut self, id: u64) {
         let Some(open) = self.tries.get(id) else {
-            self.ledger.close(id, self.now);
+            self.ledger.request_expired(id, self.now);
             return;
         };
         let (node, life, ended) = (open.node, open.life, open.ended);
-        self.ledger.close(id, self.now);
+        self.ledger.request_expired(id, self.now);
         if !ended {
             self.tries.get_mut(id).into_iter().for_each(|open| open.ended = true);
             if self.nodes[node as usize].up && self.nodes[node as usize].life == life {
@@ -375,7 +375,7 @@
         let done = |open: &Try| open.ended && open.told && open.attempts.iter().all(|attempt| !attempt.out);
         if self.tries.get(id).is_some_and(done) {
             self.tries.remove(id);
-            self.ledger.drop_if_done(id);
+            self.ledger.remove_if_done(id);
         }
     }
 }
--- a/model/src/shard/mod.rs
+++ b/model/src/shard/mod.rs
@@ -21,10 +21,10 @@
 use rand_chacha::ChaCha12Rng;
 use rand_distr::{Distribution, StandardNormal};
 
-use crate::clients::{self, Ask, Clients, Seen};
-use crate::keys::{Key, Keys};
-use crate::ledger::{Answer, Ledger, Limits, Rule};
-use crate::measure::{Fate, Tally};
+use crate::clients::{self, ClientRequest, RequestGenerator, TryOutcome};
+use crate::keys::{DedupKey, DedupTable};
+use crate::ledger::{FinalAnswer, InvariantChecker, Rule, Tolerances};
+use crate::measure::{RequestOutcome, RunStats};
 use crate::module::Module;
 use crate::plan::{Idempotency, Range};
 use crate::server::{Admission, Job, JobOutcome, Server, ServerFault};
@@ -73,15 +73,15 @@
     life: Option<u64>,
     job: Job,
     /// Of a keyed one, its key and for how long its repeats are dropped.
-    key: Option<(Key, Nanos)>,
+    key: Option<(DedupKey, Nanos)>,
 }
 
 #[derive(Clone, Debug)]
 pub(crate) enum What {
     /// The next request of this zone's clients is due.
-    Due(Ask),
+    Due(ClientRequest),
     /// A client comes again.
-    Again(Ask, u32),
+    Again(ClientRequest, u32),
     /// A try reaches its node.
     Taken { id: u64 },
     /// A client gives a try up.
@@ -133,7 +133,7 @@
 }
 
 struct Try {
-    ask: Ask,
+    ask: ClientRequest,
     tries: u32,
     node: u32,
     life: u32,
@@ -206,12 +206,12 @@
     rng: ChaCha12Rng,
     events: BinaryHeap<Reverse<Entry>>,
     order: u64,
-    clients: Option<Clients>,
+    clients: Option<RequestGenerator>,
     nodes: Vec<Node>,
     servers: HashMap<u32, Server>,
     wakes: HashMap<u32, Nanos>,
     /// What this zone's groups have seen.
-    keys: Keys,
+    keys: DedupTable,
     silent: bool,
     tries: Slab<Try>,
     module: Box<dyn Module>,
@@ -222,9 +222,9 @@
     /// To other zones.
     pub(crate) mail: Vec<Mail>,
     /// What this zone's requests come to.
-    pub tally: Tally,
+    pub tally: RunStats,
     /// What was checked.
-    pub ledger: Ledger,
+    pub ledger: InvariantChecker,
     /// Events so far.
     pub handled: u64,
     /// Why the module can't go on.
@@ -252,10 +252,10 @@
     pub fn new(common: Arc<Common>, zone: u32, module: Box<dyn Module>) -> Self {
         let (world, timeline) = (&common.world, &common.timeline);
         let start = timeline.start;
-        let limits = Limits {
+        let limits = Tolerances {
             answer_slack: ANSWER_SLACK,
             drain_grace: world.rules.drain_grace,
-            observers: common.tick,
+            clock_skew: common.tick,
         };
         let mut rng = rng_stream(world.seed, 1000 + u64::from(zone));
         let front = crate::world::seconds(FRONT_NOTICE.interpolate(rng.random()));
@@ -281,11 +281,12 @@
             now: start,
             events: BinaryHeap::new(),
             order: 0,
-            clients: (share > 0.0 && !nodes.is_empty()).then(|| Clients::of_zone(world, zone, start)),
+            clients: (share > 0.0 && !nodes.is_empty())
+                .then(|| RequestGenerator::for_zone(world, zone, start)),
             nodes,
             servers: HashMap::new(),
             wakes: HashMap::new(),
-            keys: Keys::default(),
+            keys: DedupTable::default(),
             silent: false,
             tries: Slab::default(),
             module,
@@ -294,8 +295,8 @@
             actions: Vec::new(),
             ended: Vec::new(),
             mail: Vec::new(),
-            tally: Tally::new(world, start),
-            ledger: Ledger::new(limits, start),
+            tally: RunStats::new(world, start),
+            ledger: InvariantChecker::new(limits, start),
             handled: 0,
             failed: None,
             front,
@@ -379,8 +380,8 @@
     fn next_due(&mut self) {
         let Some(clients) = self.clients.as_mut() else { return };
         let ask = clients.next(&self.common.world);
-        if ask.at < self.common.end {
-            self.push(ask.at, What::Due(ask));
+        if ask.due_at < self.common.end {
+            self.push(ask.due_at, What::Due(ask));
         }
     }
 
@@ -416,7 +417,7 @@
             What::Withdrawn { instance, job } => {
                 if let Some(server) = self.servers.get_mut(&instance) {
                     if server.cancel(self.now, job) {
-                        self.keys.ended((instance, job), false);
+                        self.keys.job_ended((instance, job), false);
                     }
                     server.disconnect(self.now);
                 }
@@ -463,7 +464,7 @@
         }
     }
 
-    fn try_once(&mut self, ask: Ask, tries: u32) {
+    fn try_once(&mut self, ask: ClientRequest, tries: u32) {
         self.tally.tries += 1;
         let now = self.now;
         let seen = |node: &&Node| !node.leaving && node.avoided_from.is_none_or(|from| now < from);
@@ -474,16 +475,16 @@
             count => Some(open[self.rng.random_range(0..count)]),
         };
         let Some(node) = node.filter(|node| self.nodes[*node as usize].up) else {
-            self.client_sees(ask, tries, Seen::Unreachable);
+            self.client_sees(ask, tries, TryOutcome::Unreachable);
             return;
         };
-        let not_after = now + clients::budget(&self.common.world, &ask, now);
+        let not_after = now + clients::try_timeout(&self.common.world, &ask, now);
         let life = self.nodes[node as usize].life;
         let attempts = Vec::new();
         let id =
             self.tries.insert(Try { ask, tries, node, life, not_after, ended: false, told: false, attempts });
         let class = &self.common.world.classes[ask.class];
-        self.ledger.asked(id, class.idempotency, class.dedup_window, not_after, now);
+        self.ledger.request_sent(id, class.idempotency, class.dedup_window, not_after, now);
         if self.nodes[node as usize].paused {
             self.ledger.excuse(id);
         }
@@ -492,18 +493,18 @@
         self.push(not_after + ANSWER_SLACK + self.common.tick, What::Closed { id });
     }
 
-    fn client_sees(&mut self, ask: Ask, tries: u32, seen: Seen) {
+    fn client_sees(&mut self, ask: ClientRequest, tries: u32, seen: TryOutcome) {
         let world = &self.common.world;
-        match clients::again(world, &ask, tries, seen, self.now, &mut self.rng) {
+        match clients::next_retry(world, &ask, tries, seen, self.now, &mut self.rng) {
             Some(at) => self.push(at, What::Again(ask, tries + 1)),
             None => {
                 let fate = match seen {
-                    Seen::Served => Fate::Served,
-                    Seen::Refused(_) => Fate::Refused,
-                    Seen::Failed => Fate::Failed,
-                    Seen::Unreachable => Fate::Unreachable,
+                    TryOutcome::Served => RequestOutcome::Served,
+                    TryOutcome::Rejected(_) => RequestOutcome::Rejected,
+                    TryOutcome::Failed => RequestOutcome::Failed,
+                    TryOutcome::Unreachable => RequestOutcome::Unreachable,
                 };
-                self.tally.end(world, &ask, fate, self.now);
+                self.tally.record(world, &ask, fate, self.now);
             }
         }
     }
--- a/model/src/shard/processes.rs
+++ b/model/src/shard/processes.rs
@@ -127,7 +127,7 @@
                 .collect();
             for (attempt, instance, booked) in out {
                 if let Some(booked) = booked {
-                    self.ledger.ended(id, booked, true, now);
+                    self.ledger.attempt_ended(id, booked, true, now);
                 }
                 let zone = self.common.timeline.instances[instance as usize].zone;
                 let way = self.way(zone);
@@ -135,7 +135,7 @@
                 self.send(zone, now + way, What::Withdrawn { instance, job });
             }
             if !told {
-                self.client_sees(ask, tries, Seen::Failed);
+                self.client_sees(ask, tries, TryOutcome::Failed);
             }
             self.drop_if_done(id);
         }
--- a/model/src/shard/servers.rs
+++ b/model/src/shard/servers.rs
@@ -28,9 +28,9 @@
         let Some(server) = self.servers.get_mut(&instance) else { return };
         if let Some((key, _)) = key
             && server.would_respond(job.failure_draw)
-            && self.keys.repeats(key, now)
+            && self.keys.is_duplicate(key, now)
         {
-            self.tally.repeats += 1;
+            self.tally.duplicates_dropped += 1;
             self.answer(place.server, node, to, ends(Outcome::Served, true, Some(life)));
             return;
         }
@@ -40,15 +40,15 @@
         let fallen = server.has_crashed() && !fell;
         let told = server.overloaded_by_informed_senders();
         if cold {
-            self.ledger.check(Rule::ColdSpared);
+            self.ledger.record_check(Rule::ColdSpared);
         }
         if fallen {
-            self.ledger.fell(&format!("s{}", place.server), told, now);
+            self.ledger.server_crashed(&format!("s{}", place.server), told, now);
         }
         match offer {
             Admission::Accepted => {
                 if let Some((key, window)) = key {
-                    self.keys.taken(key, (instance, job.id), window, now);
+                    self.keys.insert(key, (instance, job.id), window, now);
                 }
             }
             Admission::Full => self.answer(place.server, node, to, ends(Outcome::Full, false, Some(life))),
@@ -82,7 +82,7 @@
         let life = server.epoch();
         let reports = server.spec().reporting.is_some();
         for (job, end) in ended.drain(..) {
-            self.keys.ended((instance, job.id), end == JobOutcome::Served);
+            self.keys.job_ended((instance, job.id), end == JobOutcome::Served);
             let (outcome, ran) = match end {
                 JobOutcome::Served => (Outcome::Served, true),
                 JobOutcome::Error => (Outcome::Error, true),
@@ -118,7 +118,7 @@
     /// Connections to a process break as it ends: whoever waits for an answer learns that it will not come.
     pub(super) fn reset(&mut self, instance: u32, held: Vec<Job>) {
         self.wakes.remove(&instance);
-        held.iter().for_each(|job| self.keys.ended((instance, job.id), false));
+        held.iter().for_each(|job| self.keys.job_ended((instance, job.id), false));
         if self.silent {
             return;
         }
--- a/model/src/shard/troubles.rs
+++ b/model/src/shard/troubles.rs
@@ -76,11 +76,11 @@
             }
             FaultAction::Burst(factor) => {
                 let factor = if begins { factor } else { 1.0 };
-                self.clients.iter_mut().for_each(|clients| clients.burst(factor));
+                self.clients.iter_mut().for_each(|clients| clients.set_load_factor(factor));
             }
             FaultAction::FloodTenant(tenant, factor) => {
                 let factor = if begins { factor } else { 1.0 };
-                self.clients.iter_mut().for_each(|clients| clients.flood(tenant, factor));
+                self.clients.iter_mut().for_each(|clients| clients.set_tenant_factor(tenant, factor));
             }
             _ => {}
         }
--- a/model/tests/virtual_time.rs
+++ b/model/tests/virtual_time.rs
@@ -1,6 +1,6 @@
 //! A whole fleet in virtual time, on this build's own decisions.
 
-use flaxdale_model::ledger::Invariant;
+use flaxdale_model::ledger::RuleReport;
 use flaxdale_model::plan::{Fault, FaultKind, Idempotency, Range, Scenario};
 use flaxdale_model::run::{Options, Played, play};
 use flaxdale_model::world::{MS, SECOND, World};
@@ -27,18 +27,18 @@
     play(plan, seed, options()).expect("played")
 }
 
-fn broken(played: &Played) -> Vec<&Invariant> {
-    played.ledger.invariants().iter().filter(|rule| rule.broken > 0).collect()
+fn broken(played: &Played) -> Vec<&RuleReport> {
+    played.ledger.reports().iter().filter(|rule| rule.violated > 0).collect()
 }
 
 #[test]
 fn a_calm_fleet_serves_nearly_all_in_time_and_breaks_no_rule() {
     let played = run(&plan(Vec::new()), 1);
     let figures = played.measures();
-    assert_eq!(broken(&played), Vec::<&Invariant>::new());
+    assert_eq!(broken(&played), Vec::<&RuleReport>::new());
     assert!(figures["served_in_time_share"] > 0.99, "{figures:?}");
     assert!(figures["asked"] > 2000.0, "{figures:?}");
-    assert_eq!(played.ledger.open(), 0, "every account is closed");
+    assert_eq!(played.ledger.open_requests(), 0, "every account is closed");
 }
 
 #[test]
@@ -96,7 +96,7 @@
     for faults in troubles {
         let named = format!("{:?}", faults[0].kind);
         let played = run(&plan(faults), 3);
-        assert_eq!(broken(&played), Vec::<&Invariant>::new(), "{named}");
+        assert_eq!(broken(&played), Vec::<&RuleReport>::new(), "{named}");
         // The troubles concern a third of the run at most, and a part of the fleet.
         let served = played.measures()["served_in_time_share"];
         assert!(served > 0.5, "{named}: {served}");
@@ -108,7 +108,7 @@
     let lost = run(&plan(vec![Fault { target: Some("a".into()), ..fault(FaultKind::LoseZone) }]), 5);
     let calm = run(&plan(Vec::new()), 5);
     let earned = |played: &Played, from: usize, to: usize| -> f64 {
-        played.tally.seconds[from..to].iter().map(|second| second.earned).sum()
+        played.tally.per_second[from..to].iter().map(|second| second.earned_value).sum()
     };
     assert_eq!(earned(&lost, 0, 4), earned(&calm, 0, 4), "the same up to the fault");
     assert!(earned(&lost, 5, 11) < 0.95 * earned(&calm, 5, 11));
@@ -118,7 +118,7 @@
 fn nodes_that_handle_what_came_once_a_tick_answer_later() {
     let plan = plan(Vec::new());
     let ticked = play(&plan, 1, Options { tick: 5 * MS, ..options() }).expect("played");
-    assert_eq!(broken(&ticked), Vec::<&Invariant>::new());
+    assert_eq!(broken(&ticked), Vec::<&RuleReport>::new());
     let (at_once, ticked) = (run(&plan, 1).measures(), ticked.measures());
     assert!(ticked["latency_p50_ms"] > at_once["latency_p50_ms"], "{at_once:?} {ticked:?}");
 }
@@ -185,7 +185,7 @@
     let longer = throttled["latency_p99_ms"] - calm["latency_p99_ms"];
     assert!(longer > 30.0, "{longer} ms longer");
     let reset = run(&between_all(FaultKind::ResetLink, 0.9), 4);
-    assert_eq!(broken(&reset), Vec::<&Invariant>::new());
+    assert_eq!(broken(&reset), Vec::<&RuleReport>::new());
     let failed = |figures: &std::collections::BTreeMap<String, f64>| figures["served_in_time_share"];
     assert!(failed(&reset.measures()) < failed(&calm) - 0.005, "{calm:?} {:?}", reset.measures());
 }
@@ -197,7 +197,7 @@
         let mut plan = between_all(FaultKind::ResetLink, 0.9).with_defaults();
         plan.classes.iter_mut().for_each(class);
         let played = run(&plan, 6);
-        assert_eq!(broken(&played), Vec::<&Invariant>::new());
+        assert_eq!(broken(&played), Vec::<&RuleReport>::new());
         played.measures()["repeats_dropped"]
     };
     assert!(with(|_| {}) > 0.0, "some repeats are known");
--- a/model/tests/wayward.rs
+++ b/model/tests/wayward.rs
@@ -68,7 +68,7 @@
         Ok(module)
     };
     let played = play_with(&plan, 1, options, wayward).expect("played");
-    let rules = played.ledger.invariants().iter().filter(|rule| rule.broken > 0);
+    let rules = played.ledger.reports().iter().filter(|rule| rule.violated > 0);
     rules.map(|rule| rule.name.clone()).collect()
 }
 
--- a/rig/src/callers.rs
+++ b/rig/src/callers.rs
@@ -8,9 +8,9 @@
 
 use brookfield::Nanos;
 use bytes::Bytes;
-use flaxdale_model::clients::{self, Ask, Clients, Seen};
-use flaxdale_model::ledger::{Answer, wire_id};
-use flaxdale_model::measure::Fate;
+use flaxdale_model::clients::{self, ClientRequest, RequestGenerator, TryOutcome};
+use flaxdale_model::ledger::{FinalAnswer, wire_id};
+use flaxdale_model::measure::RequestOutcome;
 use flaxdale_model::plan::Idempotency;
 use flaxdale_model::world::{MS, SECOND, rng_stream};
 use http_body_util::{BodyExt, Full, Limited};
@@ -62,7 +62,7 @@
     shared: Arc<Shared>,
     /// The nodes, as the front sees them.
     pub places: Vec<Place>,
-    clients: Mutex<Clients>,
+    clients: Mutex<RequestGenerator>,
     /// By node, with the time from which on each has been idle.
     idle: Vec<Mutex<Vec<(Link, Nanos)>>>,
     luck: Mutex<ChaCha12Rng>,
@@ -90,7 +90,7 @@
         let nodes = shared.world.nodes.len();
         Arc::new(Self {
             places: (0..nodes).map(|_| Place::default()).collect(),
-            clients: Mutex::new(Clients::new(&shared.world, shared.timeline().start)),
+            clients: Mutex::new(RequestGenerator::new(&shared.world, shared.timeline().start)),
             idle: (0..nodes).map(|_| Mutex::default()).collect(),
             luck: Mutex::new(rng_stream(shared.world.seed, 11)),
             next_id: AtomicU64::new(1),
@@ -103,7 +103,7 @@
 
     /// The load begins then.
     pub fn begin(&self, start: Nanos) {
-        *lock(&self.clients) = Clients::new(&self.shared.world, start);
+        *lock(&self.clients) = RequestGenerator::new(&self.shared.world, start);
     }
 
     /// Waits until all requests have ended; their time is bounded.
@@ -112,7 +112,7 @@
     }
 
     /// Changes what is asked for.
-    pub fn change(&self, change: impl FnOnce(&mut Clients)) {
+    pub fn change(&self, change: impl FnOnce(&mut RequestGenerator)) {
         change(&mut lock(&self.clients));
     }
 
@@ -121,13 +121,13 @@
         let shared = self.shared.clone();
         loop {
             let ask = lock(&self.clients).next(&shared.world);
-            if ask.at >= end {
+            if ask.due_at >= end {
                 break;
             }
-            if ask.at > shared.clock.now() {
-                shared.clock.sleep_until(ask.at).await;
+            if ask.due_at > shared.clock.now() {
+                shared.clock.sleep_until(ask.due_at).await;
             }
-            let late = shared.clock.now().saturating_sub(ask.at) / 1000;
+            let late = shared.clock.now().saturating_sub(ask.due_at) / 1000;
             lock(&shared.lateness).saturating_record(late.max(1));
             match self.room.clone().try_acquire_owned() {
                 Ok(slot) => {
@@ -146,29 +146,29 @@
     }
 
     /// One request, over all its tries.
-    async fn follow(&self, ask: Ask) {
+    async fn follow(&self, ask: ClientRequest) {
         let shared = &self.shared;
         let mut tries = 0;
         let fate = loop {
             lock(&shared.tally).tries += 1;
             let seen = self.try_once(&ask).await;
             let now = shared.clock.now();
-            let again = clients::again(&shared.world, &ask, tries, seen, now, &mut *lock(&self.luck));
+            let again = clients::next_retry(&shared.world, &ask, tries, seen, now, &mut *lock(&self.luck));
             match again {
                 Some(at) => shared.clock.sleep_until(at).await,
                 None => {
                     break match seen {
-                        Seen::Served => Fate::Served,
-                        Seen::Refused(_) => Fate::Refused,
-                        Seen::Failed => Fate::Failed,
-                        Seen::Unreachable => Fate::Unreachable,
+                        TryOutcome::Served => RequestOutcome::Served,
+                        TryOutcome::Rejected(_) => RequestOutcome::Rejected,
+                        TryOutcome::Failed => RequestOutcome::Failed,
+                        TryOutcome::Unreachable => RequestOutcome::Unreachable,
                     };
                 }
             }
             tries += 1;
         };
         let now = shared.clock.now();
-        lock(&shared.tally).end(&shared.world, &ask, fate, now);
+        lock(&shared.tally).record(&shared.world, &ask, fate, now);
     }
 
     fn node_for(&self, zone: u32) -> Option<usize> {
@@ -180,20 +180,20 @@
         (!open.is_empty()).then(|| open[lock(&self.luck).random_range(0..open.len())])
     }
 
-    async fn try_once(&self, ask: &Ask) -> Seen {
+    async fn try_once(&self, ask: &ClientRequest) -> TryOutcome {
         let shared = &self.shared;
-        let Some(node) = self.node_for(ask.zone) else { return Seen::Unreachable };
+        let Some(node) = self.node_for(ask.zone) else { return TryOutcome::Unreachable };
         let now = shared.clock.now();
-        let not_after = now + clients::budget(&shared.world, ask, now);
+        let not_after = now + clients::try_timeout(&shared.world, ask, now);
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let class = &shared.world.classes[ask.class];
         let harms = || self.places[node].harms.load(Ordering::Relaxed);
         let before = harms();
         {
             let mut book = lock(&shared.book);
-            book.ledger.asked(id, class.idempotency, class.dedup_window, not_after, now);
+            book.ledger.request_sent(id, class.idempotency, class.dedup_window, not_after, now);
             let key = (class.idempotency == Idempotency::Keyed).then_some((ask.number, class.dedup_window));
-            book.known.insert(id, Known { node, work: ask.work, wait: ask.wait, not_after, key });
+            book.known.insert(id, Known { node, work: ask.work, wait: ask.io_wait, not_after, key });
         }
         let left = Duration::from_nanos((not_after + ANSWER_SLACK).saturating_sub(now));
         let got = timeout(left, self.ask_node(node, ask, id, not_after)).await.unwrap_or(Got::Nothing);
@@ -205,25 +205,25 @@
             book.ledger.excuse(id);
         }
         let (answer, seen) = match got {
-            Got::Answer(StatusCode::OK, _) => (Some(Answer::Served), Seen::Served),
+            Got::Answer(StatusCode::OK, _) => (Some(FinalAnswer::Served), TryOutcome::Served),
             Got::Answer(StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS, pause) => {
-                (Some(Answer::Refused), Seen::Refused(pause))
+                (Some(FinalAnswer::Rejected), TryOutcome::Rejected(pause))
             }
-            Got::Answer(..) => (Some(Answer::Failed), Seen::Failed),
-            Got::Unreachable => (None, Seen::Unreachable),
-            Got::Broken | Got::Nothing => (None, Seen::Failed),
+            Got::Answer(..) => (Some(FinalAnswer::Failed), TryOutcome::Failed),
+            Got::Unreachable => (None, TryOutcome::Unreachable),
+            Got::Broken | Got::Nothing => (None, TryOutcome::Failed),
         };
         // The account is kept for a while: a paused node may read the request yet and send it on, and a link that was
         // cut may deliver then what was given up long ago.
         match answer {
-            Some(answer) => book.ledger.answered(id, answer, came),
-            None => book.ledger.close(id, came),
+            Some(answer) => book.ledger.request_answered(id, answer, came),
+            None => book.ledger.request_expired(id, came),
         }
         // The client itself has gone by then.
-        if seen == Seen::Served && came > not_after { Seen::Failed } else { seen }
+        if seen == TryOutcome::Served && came > not_after { TryOutcome::Failed } else { seen }
     }
 
-    async fn ask_node(&self, node: usize, ask: &Ask, id: u64, not_after: Nanos) -> Got {
+    async fn ask_node(&self, node: usize, ask: &ClientRequest, id: u64, not_after: Nanos) -> Got {
         let harms = self.places[node].harms.load(Ordering::Relaxed);
         for _ in 0..2 {
             let now = self.shared.clock.now();
@@ -280,7 +280,7 @@
         Some(link)
     }
 
-    fn message(&self, ask: &Ask, id: u64, not_after: Nanos) -> Option<Request<Full<Bytes>>> {
+    fn message(&self, ask: &ClientRequest, id: u64, not_after: Nanos) -> Option<Request<Full<Bytes>>> {
         let world = &self.shared.world;
         let class = &world.classes[ask.class];
         let left = not_after.saturating_sub(self.shared.clock.now()) / MS;
@@ -314,7 +314,7 @@
             let then = self.shared.clock.now().saturating_sub(KNOWN_FOR);
             let mut book = lock(&self.shared.book);
             book.known.retain(|_, known| known.not_after >= then);
-            book.ledger.forget_before(then);
+            book.ledger.remove_idle_since(then);
         }
     }
 
--- a/rig/src/play.rs
+++ b/rig/src/play.rs
@@ -6,8 +6,8 @@
 use std::process::Command;
 use std::time::Instant;
 
-use flaxdale_model::ledger::Invariant;
-use flaxdale_model::measure::Tally;
+use flaxdale_model::ledger::RuleReport;
+use flaxdale_model::measure::RunStats;
 use flaxdale_model::plan::Scenario;
 use flaxdale_model::run::{self, Options};
 use flaxdale_model::world::{World, millis, seconds};
@@ -113,7 +113,7 @@
     let tally = lock(&shared.tally).clone();
     let lateness = lock(&shared.lateness).value_at_quantile(0.99) as f64 / 1000.0;
     let mut measures = tally.measures(&shared.world, 0);
-    let asked = tally.total().asked.max(1) as f64;
+    let asked = tally.total().requests.max(1) as f64;
     measures.insert("node_memory_mib_max".to_owned(), ran.most.0 as f64 / 1024.0);
     measures.insert("node_descriptors_max".to_owned(), ran.most.1 as f64);
     measures.insert("node_cpu_ms_per_request".to_owned(), ran.cpu_ms / asked);
@@ -124,7 +124,7 @@
             .insert("improper_peers_left_waiting_share".to_owned(), ran.rude.1 as f64 / ran.rude.0 as f64);
     }
     measures.extend(ran.registry.clone());
-    let invariants = lock(&shared.book).ledger.invariants().to_vec();
+    let invariants = lock(&shared.book).ledger.reports().to_vec();
     let late = lateness > experiment.run.lateness_ms;
     let reason = if late {
         Some(format!(
@@ -151,7 +151,7 @@
     let mut measures = played.measures();
     measures.insert("real_s".to_owned(), took);
     measures.insert("times_real_time".to_owned(), experiment.run.seconds / took);
-    measures.insert("requests_per_real_s".to_owned(), played.tally.total().asked as f64 / took);
+    measures.insert("requests_per_real_s".to_owned(), played.tally.total().requests as f64 / took);
     measures.insert("events_per_real_s".to_owned(), played.events as f64 / took);
     let about = About {
         name: order.name.clone(),
@@ -161,7 +161,7 @@
         reason: None,
         lateness: 0.0,
     };
-    let invariants = played.ledger.invariants().to_vec();
+    let invariants = played.ledger.reports().to_vec();
     Ok(result_of(about, &played.world, &played.tally, invariants, measures, experiment))
 }
 
@@ -177,12 +177,12 @@
 fn result_of(
     about: About,
     world: &World,
-    tally: &Tally,
-    invariants: Vec<Invariant>,
+    tally: &RunStats,
+    invariants: Vec<RuleReport>,
     measures: BTreeMap<String, f64>,
     experiment: &Experiment,
 ) -> RunResult {
-    let broken = invariants.iter().any(|rule| rule.broken > 0);
+    let broken = invariants.iter().any(|rule| rule.violated > 0);
     let verdict = match (&about.reason, broken) {
         // A rig that was late may itself have broken what it saw broken.
         (Some(_), _) => Verdict::None,
@@ -191,7 +191,7 @@
     };
     const SHARES: [f64; 14] =
         [0.0, 0.1, 0.25, 0.5, 0.75, 0.9, 0.95, 0.97, 0.99, 0.995, 0.998, 0.999, 0.9995, 0.9999];
-    let delay = |share: f64| (share, tally.served.value_at_quantile(share) as f64 / 1000.0);
+    let delay = |share: f64| (share, tally.served_latency.value_at_quantile(share) as f64 / 1000.0);
     let plan: Scenario = experiment.plan();
     RunResult {
         format: FORMAT,
@@ -205,8 +205,8 @@
         invariants,
         measures,
         lateness_ms_p99: about.lateness,
-        seconds: tally.seconds.iter().map(Moment::from).collect(),
-        delays: if tally.served.is_empty() { Vec::new() } else { SHARES.map(delay).to_vec() },
+        seconds: tally.per_second.iter().map(Moment::from).collect(),
+        delays: if tally.served_latency.is_empty() { Vec::new() } else { SHARES.map(delay).to_vec() },
         faults: world
             .faults
             .iter()
@@ -229,9 +229,9 @@
 }
 
 /// The lines that the logs hold on each request that broke a rule, in the order of their times.
-fn ways(folder: &Path, invariants: &[Invariant]) -> Vec<(String, Vec<String>)> {
+fn ways(folder: &Path, invariants: &[RuleReport]) -> Vec<(String, Vec<String>)> {
     let mut ids: Vec<&str> = Vec::new();
-    for breach in invariants.iter().flat_map(|rule| &rule.breaches) {
+    for breach in invariants.iter().flat_map(|rule| &rule.violations) {
         if ids.len() < MOST_WAYS && !ids.contains(&breach.id.as_str()) {
             ids.push(&breach.id);
         }
--- a/rig/src/rank.rs
+++ b/rig/src/rank.rs
@@ -55,8 +55,8 @@
     let tell = |problem| format!("{} on {name}, seed {seed}: {problem}", builds[build].name);
     let played = play_with(&plan, seed, options, module).map_err(tell)?;
     let total = played.tally.total();
-    let broken = played.ledger.invariants().iter().map(|rule| rule.broken).sum();
-    let worth = if total.worth > 0.0 { total.earned / total.worth } else { 0.0 };
+    let broken = played.ledger.reports().iter().map(|rule| rule.violated).sum();
+    let worth = if total.value > 0.0 { total.earned_value / total.value } else { 0.0 };
     Ok(Score { build, experiment, seed, worth, broken })
 }
 
--- a/rig/src/registry.rs
+++ b/rig/src/registry.rs
@@ -315,7 +315,7 @@
             if self.replicas.pid(at).is_none() {
                 continue;
             }
-            lock(&self.shared.book).ledger.check(Rule::ProcessesEnded);
+            lock(&self.shared.book).ledger.record_check(Rule::ProcessesEnded);
             if !self.replicas.stop(at).await {
                 let what = "did not end after SIGTERM, and was killed".to_owned();
                 self.shared.breach(Rule::ProcessesEnded, self.replicas.all[at].name.clone(), what);
--- a/rig/src/report.rs
+++ b/rig/src/report.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-use flaxdale_model::ledger::Invariant;
+use flaxdale_model::ledger::RuleReport;
 use plotters::prelude::*;
 
 use crate::compare::Comparison;
@@ -117,23 +117,23 @@
     })
 }
 
-fn invariants(rows: &[Invariant]) -> String {
+fn invariants(rows: &[RuleReport]) -> String {
     let mut text = String::from("<table><tr><th>rule</th><th>checked</th><th>broken</th></tr>");
     for row in rows {
-        let class = if row.broken > 0 { "bad" } else { "" };
+        let class = if row.violated > 0 { "bad" } else { "" };
         let _ = write!(
             text,
             "<tr class=\"{class}\"><td>{}</td><td class=n>{}</td><td class=n>{}</td></tr>",
             plain(&row.name),
             row.checked,
-            row.broken
+            row.violated
         );
     }
     text.push_str("</table>");
-    for row in rows.iter().filter(|row| !row.breaches.is_empty()) {
+    for row in rows.iter().filter(|row| !row.violations.is_empty()) {
         let _ = write!(text, "<h3>{}: the first broken ones</h3><ul>", plain(&row.name));
-        for breach in row.breaches.iter().take(20) {
-            let (id, what) = (plain(&breach.id), plain(&breach.what));
+        for breach in row.violations.iter().take(20) {
+            let (id, what) = (plain(&breach.id), plain(&breach.detail));
             let _ = write!(text, "<li><code>{id}</code> at {:.0} ms: {what}</li>", breach.at_ms);
         }
         text.push_str("</ul>");
--- a/rig/src/result.rs
+++ b/rig/src/result.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-use flaxdale_model::ledger::Invariant;
-use flaxdale_model::measure::Second;
+use flaxdale_model::ledger::RuleReport;
+use flaxdale_model::measure::OutcomeCounts;
 use serde::{Deserialize, Serialize};
 
 use crate::experiment::On;
@@ -45,15 +45,15 @@
     pub worth_share: f64,
 }
 
-impl From<&Second> for Moment {
-    fn from(second: &Second) -> Self {
+impl From<&OutcomeCounts> for Moment {
+    fn from(second: &OutcomeCounts) -> Self {
         Self {
-            asked: second.asked,
+            asked: second.requests,
             in_time: second.in_time,
             late: second.late,
-            refused: second.refused,
+            refused: second.rejected,
             failed: second.failed,
-            worth_share: if second.worth > 0.0 { second.earned / second.worth } else { 1.0 },
+            worth_share: if second.value > 0.0 { second.earned_value / second.value } else { 1.0 },
         }
     }
 }
@@ -90,7 +90,7 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub reason: Option<String>,
     /// What was checked.
-    pub invariants: Vec<Invariant>,
+    pub invariants: Vec<RuleReport>,
     /// The figures, the unit in the name.
     pub measures: BTreeMap<String, f64>,
     /// How late the rig itself was, at the 99th percentile, in milliseconds.
--- a/rig/src/servers.rs
+++ b/rig/src/servers.rs
@@ -10,7 +10,7 @@
 
 use brookfield::Nanos;
 use bytes::Bytes;
-use flaxdale_model::keys::Key;
+use flaxdale_model::keys::DedupKey;
 use flaxdale_model::ledger::Rule;
 use flaxdale_model::server::{Admission, Job, JobOutcome, Server, ServerFault};
 use flaxdale_model::world::{MS, rng_stream};
@@ -135,7 +135,7 @@
     /// What a process held is forgotten with it, and may run again elsewhere in its group.
     fn lost(&self, held: &[Job]) {
         let keys = &mut lock(&self.shared.book).keys;
-        held.iter().for_each(|job| keys.ended((self.instance, job.id), false));
+        held.iter().for_each(|job| keys.job_ended((self.instance, job.id), false));
     }
 
     /// Its machine says nothing more, or speaks again; what was open meets a reset then.
@@ -265,7 +265,7 @@
         };
         let id = id.to_str().ok().and_then(|text| u64::from_str_radix(text, 16).ok());
         let Some((id, known)) = id.and_then(|id| Some((id, *lock(&self.shared.book).known.get(&id)?))) else {
-            lock(&self.shared.book).ledger.check(Rule::KnownOnly);
+            lock(&self.shared.book).ledger.record_check(Rule::KnownOnly);
             let what = format!("{} got an id that nobody sent", self.uid());
             self.shared.breach(Rule::KnownOnly, format!("{:?}", head.headers.get("x-call-id")), what);
             return plain(StatusCode::BAD_REQUEST, "unknown id");
@@ -291,7 +291,7 @@
         let way = shared.world.one_way_delay(shared.world.nodes[known.node].zone, spec.zone);
         let now = shared.clock.now();
         let drains = lock(&shared.drains[known.node]).get(&self.instance).copied();
-        let booked = lock(&shared.book).ledger.arrived(id, self.instance, spec.cell, drains, now);
+        let booked = lock(&shared.book).ledger.attempt_arrived(id, self.instance, spec.cell, drains, now);
         let job = self.next_job.fetch_add(1, Ordering::Relaxed);
         let mut out = Out { of: self, id, booked, job, ran: true };
         self.travel(if fresh { 4 * way } else { way }).await;
@@ -302,15 +302,15 @@
             let (fell, cold) = (inside.server.has_crashed(), inside.server.capacity_share(now) < 1.0);
             let luck = inside.luck.random();
             let Known { work, wait, not_after, key, .. } = known;
-            let key = key.map(|(key, window)| (Key { cell: spec.cell, key }, window));
+            let key = key.map(|(key, window)| (DedupKey { cell: spec.cell, key }, window));
             // The rig does not know when the fleet's own registry told a node: it counts as told.
             let told_start = match shared.world.replicas {
                 0 => lock(&shared.starts[known.node]).get(&self.instance).copied(),
                 _ => inside.server.started_at(),
             };
             let mut book = lock(&shared.book);
-            let repeat =
-                inside.server.would_respond(luck) && key.is_some_and(|(key, _)| book.keys.repeats(key, now));
+            let repeat = inside.server.would_respond(luck)
+                && key.is_some_and(|(key, _)| book.keys.is_duplicate(key, now));
             let offer = if repeat {
                 Admission::Accepted
             } else {
@@ -330,7 +330,7 @@
                 // Its group has it already: it is answered, and not run again.
                 _ if repeat => drop(end.send(JobOutcome::Served)),
                 Some((key, window)) => {
-                    book.keys.taken(key, (self.instance, job), window, now);
+                    book.keys.insert(key, (self.instance, job), window, now);
                     inside.waiting.insert(job, end);
                 }
                 None => drop(inside.waiting.insert(job, end)),
@@ -340,16 +340,16 @@
             let told = inside.server.overloaded_by_informed_senders();
             drop(inside);
             if cold {
-                lock(&shared.book).ledger.check(Rule::ColdSpared);
+                lock(&shared.book).ledger.record_check(Rule::ColdSpared);
             }
             if pushed_over {
-                lock(&shared.book).ledger.fell(&self.uid(), told, shared.clock.now());
+                lock(&shared.book).ledger.server_crashed(&self.uid(), told, shared.clock.now());
                 self.machine.send_replace(Machine::Down);
             }
             (offer, repeat)
         };
         if repeat {
-            lock(&shared.tally).repeats += 1;
+            lock(&shared.tally).duplicates_dropped += 1;
         }
         self.wake.notify_one();
         let end = match offer {
@@ -402,7 +402,7 @@
             inside.server.advance(self.shared.clock.now(), &mut ended);
             let mut book = lock(&self.shared.book);
             for (job, end) in ended.drain(..) {
-                book.keys.ended((self.instance, job.id), end == JobOutcome::Served);
+                book.keys.job_ended((self.instance, job.id), end == JobOutcome::Served);
                 if let Some(waiting) = inside.waiting.remove(&job.id) {
                     // Whoever waited may have gone in this very moment.
                     let _ = waiting.send(end);
@@ -434,12 +434,12 @@
             // Still waited for: the connection ended first.
             let dropped = inside.waiting.remove(&self.job).is_some() && inside.server.cancel(now, self.job);
             if dropped {
-                lock(&self.of.shared.book).keys.ended((self.of.instance, self.job), false);
+                lock(&self.of.shared.book).keys.job_ended((self.of.instance, self.job), false);
             }
             dropped
         };
         if let Some(booked) = self.booked {
-            lock(&self.of.shared.book).ledger.ended(self.id, booked, self.ran && !dropped, now);
+            lock(&self.of.shared.book).ledger.attempt_ended(self.id, booked, self.ran && !dropped, now);
         }
     }
 }
--- a/rig/src/shared.rs
+++ b/rig/src/shared.rs
@@ -5,9 +5,9 @@
 
 use brookfield::Nanos;
 use flaxdale_fleet::clock::Clock;
-use flaxdale_model::keys::Keys;
-use flaxdale_model::ledger::{Ledger, Rule};
-use flaxdale_model::measure::Tally;
+use flaxdale_model::keys::DedupTable;
+use flaxdale_model::ledger::{InvariantChecker, Rule};
+use flaxdale_model::measure::RunStats;
 use flaxdale_model::timeline::Timeline;
 use flaxdale_model::world::World;
 use hdrhistogram::Histogram;
@@ -40,11 +40,11 @@
 /// The rules' book, with what the servers have to know of each request.
 pub struct Book {
     /// The book.
-    pub ledger: Ledger,
+    pub ledger: InvariantChecker,
     /// The requests of late, by id.
     pub known: HashMap<u64, Known>,
     /// What the groups of servers have seen.
-    pub keys: Keys,
+    pub keys: DedupTable,
 }
 
 /// What the parties share.
@@ -57,7 +57,7 @@
     /// The book.
     pub book: Mutex<Book>,
     /// What the requests come to.
-    pub tally: Mutex<Tally>,
+    pub tally: Mutex<RunStats>,
     /// How late the rig itself was, in microseconds.
     pub lateness: Mutex<Histogram<u64>>,
     /// When each node was told that a process drains or is gone, by its number.
@@ -71,15 +71,15 @@
 
 impl Shared {
     /// Nothing has happened yet.
-    pub fn new(world: World, timeline: Timeline, clock: Clock, ledger: Ledger) -> Self {
-        let tally = Tally::new(&world, timeline.start);
+    pub fn new(world: World, timeline: Timeline, clock: Clock, ledger: InvariantChecker) -> Self {
+        let tally = RunStats::new(&world, timeline.start);
         let of_nodes = || world.nodes.iter().map(|_| Mutex::default()).collect();
         let (drains, starts) = (of_nodes(), of_nodes());
         let lateness = Histogram::new(3).unwrap_or_else(|_| unreachable!("three digits are fine"));
         Self {
             world,
             clock,
-            book: Mutex::new(Book { ledger, known: HashMap::new(), keys: Keys::default() }),
+            book: Mutex::new(Book { ledger, known: HashMap::new(), keys: DedupTable::default() }),
             tally: Mutex::new(tally),
             lateness: Mutex::new(lateness),
             drains,
@@ -96,10 +96,10 @@
     }
 
     /// The load starts then: faults and the list's changes count from it.
-    pub fn begin(&self, start: Nanos, ledger: Ledger) {
+    pub fn begin(&self, start: Nanos, ledger: InvariantChecker) {
         let timeline = Timeline::new(&self.world, start);
         *self.timeline.write().unwrap_or_else(PoisonError::into_inner) = Arc::new(timeline);
-        *lock(&self.tally) = Tally::new(&self.world, start);
+        *lock(&self.tally) = RunStats::new(&self.world, start);
         lock(&self.book).ledger = ledger;
         self.begun.send_replace(true);
     }
@@ -130,6 +130,6 @@
     /// Notes a broken rule, and an event with it.
     pub fn breach(&self, rule: Rule, id: String, what: String) {
         self.event("breach", json!({"rule": rule.name(), "id": id, "what": what}));
-        lock(&self.book).ledger.breach(rule, id, self.clock.now(), what);
+        lock(&self.book).ledger.record_violation(rule, id, self.clock.now(), what);
     }
 }
--- a/rig/src/sockets.rs
+++ b/rig/src/sockets.rs
@@ -10,8 +10,8 @@
 
 use brookfield::Nanos;
 use flaxdale_fleet::clock::Clock;
-use flaxdale_model::ledger::{Ledger, Limits, Rule};
-use flaxdale_model::measure::Second;
+use flaxdale_model::ledger::{InvariantChecker, Rule, Tolerances};
+use flaxdale_model::measure::OutcomeCounts;
 use flaxdale_model::plan::Range;
 use flaxdale_model::server::ServerFault;
 use flaxdale_model::timeline::{DISCOVERY_END, Timeline};
@@ -73,9 +73,9 @@
     /// Seconds since the start of the load.
     pub at_s: f64,
     /// Requests that ended since the last look.
-    pub lately: Second,
+    pub lately: OutcomeCounts,
     /// All so far.
-    pub total: Second,
+    pub total: OutcomeCounts,
     /// Median delay of what was served, in milliseconds.
     pub p50_ms: f64,
     /// Its 99th percentile.
@@ -159,12 +159,15 @@
     let world = World::sample(&plan, stage.seed);
     let clock = Clock::start();
     let slack = millis(experiment.run.slack_ms);
-    let limits =
-        Limits { answer_slack: ANSWER_SLACK + slack, drain_grace: world.rules.drain_grace, observers: slack };
+    let limits = Tolerances {
+        answer_slack: ANSWER_SLACK + slack,
+        drain_grace: world.rules.drain_grace,
+        clock_skew: slack,
+    };
     // The load starts when all is ready; until then nothing of the timeline comes due.
     let far = clock.now() + 86_400 * SECOND;
     let timeline = Timeline::new(&world, far);
-    let shared = Arc::new(Shared::new(world, timeline, clock, Ledger::new(limits, far)));
+    let shared = Arc::new(Shared::new(world, timeline, clock, InvariantChecker::new(limits, far)));
     let mut servers = Vec::new();
     for (number, instance) in shared.timeline().instances.iter().enumerate() {
         let first = if instance.starts_at == 0 { First::Up } else { First::Later };
@@ -275,7 +278,7 @@
         return Err(error.into());
     }
     let start = clock.now() + LEAD;
-    shared.begin(start, Ledger::new(limits, start));
+    shared.begin(start, InvariantChecker::new(limits, start));
     run.callers.begin(start);
     let span = if stage.endless { Nanos::MAX / 4 } else { seconds(experiment.run.seconds) };
     if let Some(registry) = &run.registry {
@@ -390,7 +393,7 @@
                 // A paused process can't end.
                 node.pause(false);
                 if node.pid().is_some() {
-                    lock(&run.shared.book).ledger.check(Rule::ProcessesEnded);
+                    lock(&run.shared.book).ledger.record_check(Rule::ProcessesEnded);
                     if !node.stop().await {
                         let what = "did not end after SIGTERM, and was killed".to_owned();
                         run.shared.breach(Rule::ProcessesEnded, node.name.clone(), what);
@@ -457,7 +460,7 @@
         self.most_memory.fetch_max(holds.memory_kib, Ordering::Relaxed);
         self.most_descriptors.fetch_max(holds.descriptors, Ordering::Relaxed);
         self.cpu[node.number].fetch_max(holds.cpu_ticks, Ordering::Relaxed);
-        lock(&self.shared.book).ledger.check(Rule::ProcessBounds);
+        lock(&self.shared.book).ledger.record_check(Rule::ProcessBounds);
         let (memory, descriptors) = self.bounds;
         if holds.memory_kib > memory || holds.descriptors > descriptors {
             let what = format!(
@@ -473,26 +476,26 @@
         shared.clock.sleep_until(shared.timeline().start).await;
         let mut every = interval(Duration::from_secs(1));
         every.tick().await;
-        let mut before = Second::default();
+        let mut before = OutcomeCounts::default();
         loop {
             every.tick().await;
             let (total, p50, p99) = {
                 let tally = lock(&shared.tally);
-                let at = |share| tally.served.value_at_quantile(share) as f64 / 1000.0;
+                let at = |share| tally.served_latency.value_at_quantile(share) as f64 / 1000.0;
                 (tally.total(), at(0.5), at(0.99))
             };
-            let lately = Second {
-                asked: total.asked - before.asked,
+            let lately = OutcomeCounts {
+                requests: total.requests - before.requests,
                 in_time: total.in_time - before.in_time,
                 late: total.late - before.late,
-                refused: total.refused - before.refused,
+                rejected: total.rejected - before.rejected,
                 failed: total.failed - before.failed,
-                worth: total.worth - before.worth,
-                earned: total.earned - before.earned,
+                value: total.value - before.value,
+                earned_value: total.earned_value - before.earned_value,
             };
             before = total;
             let up = self.servers.iter().filter(|server| server.is_up()).count();
-            let broken = lock(&shared.book).ledger.invariants().iter().map(|rule| rule.broken).sum();
+            let broken = lock(&shared.book).ledger.reports().iter().map(|rule| rule.violated).sum();
             let now = Progress {
                 at_s: shared.at_ms(shared.clock.now()) / 1000.0,
                 lately,
@@ -506,8 +509,8 @@
             };
             shared.event(
                 "second",
-                json!({"asked": lately.asked, "in_time": lately.in_time, "late": lately.late,
-                    "refused": lately.refused, "failed": lately.failed, "servers_up": up,
+                json!({"asked": lately.requests, "in_time": lately.in_time, "late": lately.late,
+                    "refused": lately.rejected, "failed": lately.failed, "servers_up": up,
                     "p50_ms": p50, "p99_ms": p99}),
             );
             progress(&now);
@@ -640,10 +643,11 @@
                 }
             }
             FaultAction::Burst(factor) => {
-                self.callers.change(|clients| clients.burst(if begins { factor } else { 1.0 }))
+                self.callers.change(|clients| clients.set_load_factor(if begins { factor } else { 1.0 }))
             }
             FaultAction::FloodTenant(tenant, factor) => {
-                self.callers.change(|clients| clients.flood(tenant, if begins { factor } else { 1.0 }));
+                self.callers
+                    .change(|clients| clients.set_tenant_factor(tenant, if begins { factor } else { 1.0 }));
             }
             FaultAction::RudeClients(rate) if begins => {
                 let timeline = self.shared.timeline();
--- a/rig/src/watchers.rs
+++ b/rig/src/watchers.rs
@@ -120,7 +120,7 @@
                 continue;
             };
             let mut book = lock(&self.shared.book);
-            book.ledger.check(Rule::RegistryForward);
+            book.ledger.record_check(Rule::RegistryForward);
             drop(book);
             if ask.seen.is_some_and(|rev| list.rev < rev) {
                 let what = format!("told version {} after {:?}", list.rev, ask.seen);
@@ -160,7 +160,7 @@
         }
         drop(seen);
         for uid in gone {
-            lock(&self.shared.book).ledger.check(Rule::RegistryBelieves);
+            lock(&self.shared.book).ledger.record_check(Rule::RegistryBelieves);
             if lock(&self.register.alive).contains(&uid) {
                 self.shared.breach(Rule::RegistryBelieves, uid, "told of as gone, and it renews".to_owned());
             }
@@ -178,7 +178,7 @@
             return;
         };
         for uid in lock(&self.register.acknowledged).iter() {
-            lock(&self.shared.book).ledger.check(Rule::RegistryKeeps);
+            lock(&self.shared.book).ledger.record_check(Rule::RegistryKeeps);
             if !committed.contains_key(uid) {
                 self.shared.breach(
                     Rule::RegistryKeeps,
@@ -195,7 +195,7 @@
         };
         let settled = timeout(SETTLES, same).await.is_ok();
         for (number, seen) in seen.iter().enumerate() {
-            lock(&self.shared.book).ledger.check(Rule::RegistrySame);
+            lock(&self.shared.book).ledger.record_check(Rule::RegistrySame);
             let own = lock(seen).list.clone();
             if !settled && own != committed {
                 let what = format!("has {} instances, and {} are on the list", own.len(), committed.len());
