--- a/model/src/module.rs
+++ b/model/src/balancers.rs
@@ -4,7 +4,7 @@
 use serde_json::Value;
 
 /// What decides for the nodes of one zone. A node is known by its position among them.
-pub trait Module: Send {
+pub trait BalancerSet: Send {
     /// A node starts; it gets [`Event::Start`] and its first list after this.
     fn open(&mut self, node: usize, settings: &Value, seed: u64, now: Nanos) -> Result<(), String>;
 
@@ -20,12 +20,12 @@
 
 /// This build's own decisions.
 #[derive(Default)]
-pub struct Own {
+pub struct LocalBalancers {
     nodes: Vec<Option<Balancer>>,
     out: Vec<Action>,
 }
 
-impl Module for Own {
+impl BalancerSet for LocalBalancers {
     fn open(&mut self, node: usize, settings: &Value, seed: u64, now: Nanos) -> Result<(), String> {
         let site = brookfield_settings::parse(settings)?;
         let balancer = Balancer::new(site.settings, seed, now).map_err(|error| error.to_string())?;
--- a/model/src/clients.rs
+++ b/model/src/clients.rs
@@ -5,7 +5,7 @@
 use rand_chacha::ChaCha12Rng;
 use rand_distr::{Distribution, Exp1, LogNormal};
 
-use crate::plan::{Idempotency, RetryPolicy};
+use crate::scenario::{Idempotency, RetryPolicy};
 use crate::world::{SECOND, World, rng_stream};
 
 /// Times that a client's wait doubles at most.
--- a/model/src/ledger.rs
+++ b/model/src/invariants.rs
@@ -8,7 +8,7 @@
 use brookfield::Nanos;
 use serde::{Deserialize, Serialize};
 
-use crate::plan::Idempotency;
+use crate::scenario::Idempotency;
 
 /// Broken ones that are kept with their details, for each rule; the count goes on.
 const MOST_BREACHES: usize = 50;
--- a/model/src/lib.rs
+++ b/model/src/lib.rs
@@ -7,16 +7,16 @@
 //! every run checks, [`measure`] what it comes to. These serve two drivers: real processes on sockets, in the rig, and
 //! [`run`], which plays the decision module itself in virtual time.
 
+pub mod balancers;
 pub mod clients;
-pub mod keys;
-pub mod ledger;
-pub mod measure;
-pub mod module;
+pub mod dedup;
+pub mod invariants;
 mod ordered;
-pub mod plan;
-pub mod run;
+pub mod scenario;
 pub mod server;
 mod shard;
+pub mod simulation;
 mod slab;
+pub mod stats;
 pub mod timeline;
 pub mod world;
--- a/model/src/server.rs
+++ b/model/src/server.rs
@@ -3,7 +3,7 @@
 //! A request computes first and then waits on others, holding a slot for both. All that compute share the cores
 //! evenly. Between two events every request that computes gets the same service, so one running total of it
 //! (`served`) is enough: a request is done computing when the total has grown by its work. Not modelled here: what
-//! a request's effect is, and who may send it; that is for the driver and the [`ledger`](crate::ledger).
+//! a request's effect is, and who may send it; that is for the driver and the [`ledger`](crate::invariants).
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
--- a/model/src/shard/driver.rs
+++ b/model/src/shard/driver.rs
@@ -104,7 +104,7 @@
         let Some(open) = self.tries.get_mut(id).filter(live) else {
             self.ledger.record_violation(
                 Rule::OneOutcome,
-                crate::ledger::wire_id(id),
+                crate::invariants::wire_id(id),
                 now,
                 "sent after its end".into(),
             );
--- a/model/src/shard/mod.rs
+++ b/model/src/shard/mod.rs
@@ -21,14 +21,14 @@
 use rand_chacha::ChaCha12Rng;
 use rand_distr::{Distribution, StandardNormal};
 
+use crate::balancers::BalancerSet;
 use crate::clients::{self, ClientRequest, RequestGenerator, TryOutcome};
-use crate::keys::{DedupKey, DedupTable};
-use crate::ledger::{FinalAnswer, InvariantChecker, Rule, Tolerances};
-use crate::measure::{RequestOutcome, RunStats};
-use crate::module::Module;
-use crate::plan::{Idempotency, Range};
+use crate::dedup::{DedupKey, DedupTable};
+use crate::invariants::{FinalAnswer, InvariantChecker, Rule, Tolerances};
+use crate::scenario::{Idempotency, Range};
 use crate::server::{Admission, Job, JobOutcome, Server, ServerFault};
 use crate::slab::Slab;
+use crate::stats::{RequestOutcome, RunStats};
 use crate::timeline::{DISCOVERY_END, Timeline};
 use crate::world::{FaultAction, LinkEnd, LinkFault, MS, SECOND, World, rng_stream};
 
@@ -214,7 +214,7 @@
     keys: DedupTable,
     silent: bool,
     tries: Slab<Try>,
-    module: Box<dyn Module>,
+    module: Box<dyn BalancerSet>,
     pending: Vec<(usize, Event)>,
     ticking: bool,
     actions: Vec<(usize, Action)>,
@@ -249,7 +249,7 @@
 
 impl Shard {
     /// A zone before its load starts: its nodes know the list, its servers are warm.
-    pub fn new(common: Arc<Common>, zone: u32, module: Box<dyn Module>) -> Self {
+    pub fn new(common: Arc<Common>, zone: u32, module: Box<dyn BalancerSet>) -> Self {
         let (world, timeline) = (&common.world, &common.timeline);
         let start = timeline.start;
         let limits = Tolerances {
--- a/model/src/run.rs
+++ b/model/src/simulation.rs
@@ -7,11 +7,11 @@
 
 use brookfield::Nanos;
 
-use crate::ledger::InvariantChecker;
-use crate::measure::RunStats;
-use crate::module::{Module, Own};
-use crate::plan::Scenario;
+use crate::balancers::{BalancerSet, LocalBalancers};
+use crate::invariants::InvariantChecker;
+use crate::scenario::Scenario;
 use crate::shard::{ANSWER_SLACK, Common, Mail, Shard};
+use crate::stats::RunStats;
 use crate::timeline::Timeline;
 use crate::world::{SECOND, World};
 
@@ -20,9 +20,9 @@
 
 /// How a plan is played.
 #[derive(Clone, Copy, Debug)]
-pub struct Options {
+pub struct SimulationOptions {
     /// For how long requests come.
-    pub span: Nanos,
+    pub load_duration: Nanos,
     /// Nodes handle what has come in once in so long; 0 for at once.
     pub tick: Nanos,
     /// Threads to play on, at most one for each zone.
@@ -30,23 +30,23 @@
 }
 
 /// What a run came to.
-pub struct Played {
+pub struct SimulationResult {
     /// The world that was played.
     pub world: World,
     /// Counts, worth and delays.
-    pub tally: RunStats,
+    pub stats: RunStats,
     /// What was checked.
-    pub ledger: InvariantChecker,
+    pub invariants: InvariantChecker,
     /// Events that were played.
     pub events: u64,
     /// Servers that were up at the end, and those of them that crowding had turned slow.
     pub servers_up: (usize, usize),
 }
 
-impl Played {
+impl SimulationResult {
     /// The figures by name, the unit in the name.
     pub fn measures(&self) -> BTreeMap<String, f64> {
-        self.tally.measures(&self.world, 0)
+        self.stats.measures(&self.world, 0)
     }
 
     /// A number that tells whether two runs were the same.
@@ -56,35 +56,35 @@
             print = (print ^ value).wrapping_mul(0x0100_0000_01b3);
         };
         take(self.events);
-        for second in &self.tally.per_second {
+        for second in &self.stats.per_second {
             for count in [second.requests, second.in_time, second.late, second.rejected, second.failed] {
                 take(count);
             }
         }
-        for step in self.tally.total_latency.iter_recorded() {
+        for step in self.stats.total_latency.iter_recorded() {
             take(step.value_iterated_to());
             take(step.count_since_last_iteration());
         }
-        [self.tally.tries, self.tally.attempts, self.tally.cross_zone_attempts].into_iter().for_each(take);
+        [self.stats.tries, self.stats.attempts, self.stats.cross_zone_attempts].into_iter().for_each(take);
         print
     }
 }
 
 /// Plays a checked plan on this build's own decisions.
-pub fn play(plan: &Scenario, seed: u64, options: Options) -> Result<Played, String> {
-    play_with(plan, seed, options, |_| Ok(Box::<Own>::default()))
+pub fn simulate(plan: &Scenario, seed: u64, options: SimulationOptions) -> Result<SimulationResult, String> {
+    simulate_with(plan, seed, options, |_| Ok(Box::<LocalBalancers>::default()))
 }
 
 /// Plays a checked plan, with the decisions that `module` makes for each zone.
-pub fn play_with(
+pub fn simulate_with(
     plan: &Scenario,
     seed: u64,
-    options: Options,
-    mut module: impl FnMut(u32) -> Result<Box<dyn Module>, String>,
-) -> Result<Played, String> {
+    options: SimulationOptions,
+    mut module: impl FnMut(u32) -> Result<Box<dyn BalancerSet>, String>,
+) -> Result<SimulationResult, String> {
     let world = World::sample(plan, seed);
     let timeline = Timeline::new(&world, START);
-    let end = START + options.span;
+    let end = START + options.load_duration;
     let longest = world.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
     let stop = end + longest + ANSWER_SLACK + SECOND;
     // No message between zones is faster than this.
@@ -114,7 +114,7 @@
         }
     }
     let (tally, ledger) = whole.ok_or("no zone")?;
-    Ok(Played { world: common.world.clone(), tally, ledger, events, servers_up })
+    Ok(SimulationResult { world: common.world.clone(), stats: tally, invariants: ledger, events, servers_up })
 }
 
 /// Plays all zones in spans no longer than a message between them takes.
--- a/model/src/world.rs
+++ b/model/src/world.rs
@@ -7,7 +7,7 @@
 use rand_chacha::ChaCha12Rng;
 use serde_json::{Value, json};
 
-use crate::plan::{Fault, FaultKind, Idempotency, LEADER, Range, RetryPolicy, Scenario, TargetKind};
+use crate::scenario::{Fault, FaultKind, Idempotency, LEADER, Range, RetryPolicy, Scenario, TargetKind};
 use crate::server::{CancelPolicy, Congestion, LoadReporting, ServerSpec};
 
 /// A second.
--- a/model/tests/ledger.rs
+++ b/model/tests/invariants.rs
@@ -1,7 +1,7 @@
 //! Each rule of the book, kept and broken.
 
-use flaxdale_model::ledger::*;
-use flaxdale_model::plan::Idempotency;
+use flaxdale_model::invariants::*;
+use flaxdale_model::scenario::Idempotency;
 use flaxdale_model::world::{MS, SECOND};
 
 const LIMITS: Tolerances = Tolerances { answer_slack: 20 * MS, drain_grace: 500 * MS, clock_skew: 10 * MS };
--- a/model/tests/wayward.rs
+++ b/model/tests/violations.rs
@@ -1,9 +1,9 @@
 //! Nodes that break the rules are found out: each of these decides as this build does, but for one bent action.
 
 use brookfield::{Action, BackendId, Event, Member, Nanos, Stage};
-use flaxdale_model::module::{Module, Own};
-use flaxdale_model::plan::{Fault, FaultKind, Range, Scenario};
-use flaxdale_model::run::{Options, play_with};
+use flaxdale_model::balancers::{BalancerSet, LocalBalancers};
+use flaxdale_model::scenario::{Fault, FaultKind, Range, Scenario};
+use flaxdale_model::simulation::{SimulationOptions, simulate_with};
 use flaxdale_model::world::SECOND;
 use serde_json::Value;
 
@@ -12,13 +12,13 @@
 
 /// This build's decisions, bent.
 struct Wayward {
-    own: Own,
+    own: LocalBalancers,
     bend: Bend,
     cold: Option<BackendId>,
     draining: Option<BackendId>,
 }
 
-impl Module for Wayward {
+impl BalancerSet for Wayward {
     fn open(&mut self, node: usize, settings: &Value, seed: u64, now: Nanos) -> Result<(), String> {
         self.own.open(node, settings, seed, now)
     }
@@ -61,14 +61,14 @@
     let mut plan = Scenario { faults: vec![replaced], ..Scenario::default() };
     plan.fleet.zones.truncate(1);
     plan.validate().expect("a plan that makes sense");
-    let options = Options { span: 10 * SECOND, tick: 0, threads: 1 };
+    let options = SimulationOptions { load_duration: 10 * SECOND, tick: 0, threads: 1 };
     let wayward = move |_| {
-        let module: Box<dyn Module> =
-            Box::new(Wayward { own: Own::default(), bend, cold: None, draining: None });
+        let module: Box<dyn BalancerSet> =
+            Box::new(Wayward { own: LocalBalancers::default(), bend, cold: None, draining: None });
         Ok(module)
     };
-    let played = play_with(&plan, 1, options, wayward).expect("played");
-    let rules = played.ledger.reports().iter().filter(|rule| rule.violated > 0);
+    let played = simulate_with(&plan, 1, options, wayward).expect("played");
+    let rules = played.invariants.reports().iter().filter(|rule| rule.violated > 0);
     rules.map(|rule| rule.name.clone()).collect()
 }
 
--- a/model/tests/virtual_time.rs
+++ b/model/tests/virtual_time.rs
@@ -1,14 +1,14 @@
 //! A whole fleet in virtual time, on this build's own decisions.
 
-use flaxdale_model::ledger::RuleReport;
-use flaxdale_model::plan::{Fault, FaultKind, Idempotency, Range, Scenario};
-use flaxdale_model::run::{Options, Played, play};
+use flaxdale_model::invariants::RuleReport;
+use flaxdale_model::scenario::{Fault, FaultKind, Idempotency, Range, Scenario};
+use flaxdale_model::simulation::{SimulationOptions, SimulationResult, simulate};
 use flaxdale_model::world::{MS, SECOND, World};
 
 const SPAN: u64 = 20 * SECOND;
 
-fn options() -> Options {
-    Options { span: SPAN, tick: 0, threads: 1 }
+fn options() -> SimulationOptions {
+    SimulationOptions { load_duration: SPAN, tick: 0, threads: 1 }
 }
 
 fn fault(what: FaultKind) -> Fault {
@@ -23,12 +23,12 @@
     plan
 }
 
-fn run(plan: &Scenario, seed: u64) -> Played {
-    play(plan, seed, options()).expect("played")
+fn run(plan: &Scenario, seed: u64) -> SimulationResult {
+    simulate(plan, seed, options()).expect("played")
 }
 
-fn broken(played: &Played) -> Vec<&RuleReport> {
-    played.ledger.reports().iter().filter(|rule| rule.violated > 0).collect()
+fn broken(played: &SimulationResult) -> Vec<&RuleReport> {
+    played.invariants.reports().iter().filter(|rule| rule.violated > 0).collect()
 }
 
 #[test]
@@ -38,14 +38,15 @@
     assert_eq!(broken(&played), Vec::<&RuleReport>::new());
     assert!(figures["served_in_time_share"] > 0.99, "{figures:?}");
     assert!(figures["asked"] > 2000.0, "{figures:?}");
-    assert_eq!(played.ledger.open_requests(), 0, "every account is closed");
+    assert_eq!(played.invariants.open_requests(), 0, "every account is closed");
 }
 
 #[test]
 fn the_same_seed_plays_the_same_on_any_number_of_threads_and_another_one_does_not() {
     let plan = plan(vec![Fault { target: Some("b".into()), cold: true, ..fault(FaultKind::LoseZone) }]);
-    let print =
-        |seed, threads| play(&plan, seed, Options { threads, ..options() }).expect("played").fingerprint();
+    let print = |seed, threads| {
+        simulate(&plan, seed, SimulationOptions { threads, ..options() }).expect("played").fingerprint()
+    };
     let first = print(7, 1);
     for threads in [1, 2, 3] {
         assert_eq!(print(7, threads), first, "{threads} threads");
@@ -107,8 +108,8 @@
 fn a_lost_zone_shows_in_its_seconds_and_not_before() {
     let lost = run(&plan(vec![Fault { target: Some("a".into()), ..fault(FaultKind::LoseZone) }]), 5);
     let calm = run(&plan(Vec::new()), 5);
-    let earned = |played: &Played, from: usize, to: usize| -> f64 {
-        played.tally.per_second[from..to].iter().map(|second| second.earned_value).sum()
+    let earned = |played: &SimulationResult, from: usize, to: usize| -> f64 {
+        played.stats.per_second[from..to].iter().map(|second| second.earned_value).sum()
     };
     assert_eq!(earned(&lost, 0, 4), earned(&calm, 0, 4), "the same up to the fault");
     assert!(earned(&lost, 5, 11) < 0.95 * earned(&calm, 5, 11));
@@ -117,7 +118,7 @@
 #[test]
 fn nodes_that_handle_what_came_once_a_tick_answer_later() {
     let plan = plan(Vec::new());
-    let ticked = play(&plan, 1, Options { tick: 5 * MS, ..options() }).expect("played");
+    let ticked = simulate(&plan, 1, SimulationOptions { tick: 5 * MS, ..options() }).expect("played");
     assert_eq!(broken(&ticked), Vec::<&RuleReport>::new());
     let (at_once, ticked) = (run(&plan, 1).measures(), ticked.measures());
     assert!(ticked["latency_p50_ms"] > at_once["latency_p50_ms"], "{at_once:?} {ticked:?}");
@@ -193,7 +194,7 @@
 #[test]
 fn a_keyed_repeat_in_its_window_costs_its_group_nothing() {
     // Connections break while work goes on: its repeat, in the group and the window, finds it known.
-    let with = |class: fn(&mut flaxdale_model::plan::Class)| {
+    let with = |class: fn(&mut flaxdale_model::scenario::Class)| {
         let mut plan = between_all(FaultKind::ResetLink, 0.9).with_defaults();
         plan.classes.iter_mut().for_each(class);
         let played = run(&plan, 6);
--- a/rig/src/experiment.rs
+++ b/rig/src/experiment.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use flaxdale_fleet::file::{self, FileError};
-use flaxdale_model::plan::{
+use flaxdale_model::scenario::{
     Class, Discovery, Fault, FaultKind, Fleet, Kind, Load, MAX_RUN_SECONDS, Network, Registry, Rules,
     Scenario, TargetKind, Tenant, ValidationError,
 };
--- a/rig/src/play.rs
+++ b/rig/src/play.rs
@@ -6,10 +6,10 @@
 use std::process::Command;
 use std::time::Instant;
 
-use flaxdale_model::ledger::RuleReport;
-use flaxdale_model::measure::RunStats;
-use flaxdale_model::plan::Scenario;
-use flaxdale_model::run::{self, Options};
+use flaxdale_model::invariants::RuleReport;
+use flaxdale_model::scenario::Scenario;
+use flaxdale_model::simulation::{self, SimulationOptions};
+use flaxdale_model::stats::RunStats;
 use flaxdale_model::world::{World, millis, seconds};
 use serde_json::Value;
 use tokio::sync::watch;
@@ -143,15 +143,18 @@
 fn virtually(order: &Order) -> Result<RunResult, PlayError> {
     let experiment = &order.experiment;
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
-    let options =
-        Options { span: seconds(experiment.run.seconds), tick: millis(experiment.run.tick_ms), threads };
+    let options = SimulationOptions {
+        load_duration: seconds(experiment.run.seconds),
+        tick: millis(experiment.run.tick_ms),
+        threads,
+    };
     let began = Instant::now();
-    let played = run::play(&experiment.plan(), order.seed, options).map_err(PlayError::Virtual)?;
+    let played = simulation::simulate(&experiment.plan(), order.seed, options).map_err(PlayError::Virtual)?;
     let took = began.elapsed().as_secs_f64().max(1e-9);
     let mut measures = played.measures();
     measures.insert("real_s".to_owned(), took);
     measures.insert("times_real_time".to_owned(), experiment.run.seconds / took);
-    measures.insert("requests_per_real_s".to_owned(), played.tally.total().requests as f64 / took);
+    measures.insert("requests_per_real_s".to_owned(), played.stats.total().requests as f64 / took);
     measures.insert("events_per_real_s".to_owned(), played.events as f64 / took);
     let about = About {
         name: order.name.clone(),
@@ -161,8 +164,8 @@
         reason: None,
         lateness: 0.0,
     };
-    let invariants = played.ledger.reports().to_vec();
-    Ok(result_of(about, &played.world, &played.tally, invariants, measures, experiment))
+    let invariants = played.invariants.reports().to_vec();
+    Ok(result_of(about, &played.world, &played.stats, invariants, measures, experiment))
 }
 
 struct About {
--- a/rig/src/rank.rs
+++ b/rig/src/rank.rs
@@ -1,7 +1,7 @@
 //! Several builds of the decisions held against each other on the same worlds in virtual time.
 
-use flaxdale_model::module::{Module, Own};
-use flaxdale_model::run::{Options, play_with};
+use flaxdale_model::balancers::{BalancerSet, LocalBalancers};
+use flaxdale_model::simulation::{SimulationOptions, simulate_with};
 use flaxdale_model::world::{millis, seconds};
 
 use crate::experiment::Experiment;
@@ -42,20 +42,21 @@
 ) -> Result<Score, String> {
     let (name, of) = &experiments[experiment];
     let tick = if of.run.tick_ms > 0.0 { of.run.tick_ms } else { TICK_MS };
-    let options = Options { span: seconds(of.run.seconds), tick: millis(tick), threads: 1 };
+    let options =
+        SimulationOptions { load_duration: seconds(of.run.seconds), tick: millis(tick), threads: 1 };
     let plan = of.plan();
     let world = flaxdale_model::world::World::sample(&plan, seed);
     let command = builds[build].command.clone();
-    let module = |_| -> Result<Box<dyn Module>, String> {
+    let module = |_| -> Result<Box<dyn BalancerSet>, String> {
         match &command {
             Some(command) => Ok(Box::new(Adapter::start(command, &world)?)),
-            None => Ok(Box::<Own>::default()),
+            None => Ok(Box::<LocalBalancers>::default()),
         }
     };
     let tell = |problem| format!("{} on {name}, seed {seed}: {problem}", builds[build].name);
-    let played = play_with(&plan, seed, options, module).map_err(tell)?;
-    let total = played.tally.total();
-    let broken = played.ledger.reports().iter().map(|rule| rule.violated).sum();
+    let played = simulate_with(&plan, seed, options, module).map_err(tell)?;
+    let total = played.stats.total();
+    let broken = played.invariants.reports().iter().map(|rule| rule.violated).sum();
     let worth = if total.value > 0.0 { total.earned_value / total.value } else { 0.0 };
     Ok(Score { build, experiment, seed, worth, broken })
 }
--- a/rig/src/registrants.rs
+++ b/rig/src/registrants.rs
@@ -9,7 +9,7 @@
 
 use brookfield::Nanos;
 use flaxdale_fleet::call::{Call, HttpClient};
-use flaxdale_model::plan::Registry;
+use flaxdale_model::scenario::Registry;
 use flaxdale_model::world::MS;
 use hdrhistogram::Histogram;
 use hyper::StatusCode;
--- a/rig/src/registry.rs
+++ b/rig/src/registry.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 use brookfield::Nanos;
-use flaxdale_model::ledger::Rule;
-use flaxdale_model::plan::Registry as Plan;
+use flaxdale_model::invariants::Rule;
+use flaxdale_model::scenario::Registry as Plan;
 use flaxdale_model::world::{FaultAction, LinkEnd, SECOND};
 use serde_json::json;
 use tokio::sync::watch;
--- a/rig/src/replicas.rs
+++ b/rig/src/replicas.rs
@@ -10,7 +10,7 @@
 
 use flaxdale_fleet::call::{Call, HttpClient};
 use flaxdale_fleet::parent_process;
-use flaxdale_model::plan::Registry;
+use flaxdale_model::scenario::Registry;
 use flaxdale_model::timeline::replica_end as end_of;
 use rustix::process::Signal;
 use serde_json::{Value, json};
--- a/rig/src/report.rs
+++ b/rig/src/report.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-use flaxdale_model::ledger::RuleReport;
+use flaxdale_model::invariants::RuleReport;
 use plotters::prelude::*;
 
 use crate::compare::Comparison;
--- a/rig/src/result.rs
+++ b/rig/src/result.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-use flaxdale_model::ledger::RuleReport;
-use flaxdale_model::measure::OutcomeCounts;
+use flaxdale_model::invariants::RuleReport;
+use flaxdale_model::stats::OutcomeCounts;
 use serde::{Deserialize, Serialize};
 
 use crate::experiment::On;
@@ -102,7 +102,7 @@
     /// The faults.
     pub faults: Vec<Played>,
     /// The plan, in full.
-    pub plan: flaxdale_model::plan::Scenario,
+    pub plan: flaxdale_model::scenario::Scenario,
 }
 
 /// Why a file is no result.
--- a/rig/src/servers.rs
+++ b/rig/src/servers.rs
@@ -10,8 +10,8 @@
 
 use brookfield::Nanos;
 use bytes::Bytes;
-use flaxdale_model::keys::DedupKey;
-use flaxdale_model::ledger::Rule;
+use flaxdale_model::dedup::DedupKey;
+use flaxdale_model::invariants::Rule;
 use flaxdale_model::server::{Admission, Job, JobOutcome, Server, ServerFault};
 use flaxdale_model::world::{MS, rng_stream};
 use http_body_util::{BodyExt, Full, Limited};
--- a/rig/src/shared.rs
+++ b/rig/src/shared.rs
@@ -5,9 +5,9 @@
 
 use brookfield::Nanos;
 use flaxdale_fleet::clock::Clock;
-use flaxdale_model::keys::DedupTable;
-use flaxdale_model::ledger::{InvariantChecker, Rule};
-use flaxdale_model::measure::RunStats;
+use flaxdale_model::dedup::DedupTable;
+use flaxdale_model::invariants::{InvariantChecker, Rule};
+use flaxdale_model::stats::RunStats;
 use flaxdale_model::timeline::Timeline;
 use flaxdale_model::world::World;
 use hdrhistogram::Histogram;
--- a/rig/src/sockets.rs
+++ b/rig/src/sockets.rs
@@ -10,10 +10,10 @@
 
 use brookfield::Nanos;
 use flaxdale_fleet::clock::Clock;
-use flaxdale_model::ledger::{InvariantChecker, Rule, Tolerances};
-use flaxdale_model::measure::OutcomeCounts;
-use flaxdale_model::plan::Range;
+use flaxdale_model::invariants::{InvariantChecker, Rule, Tolerances};
+use flaxdale_model::scenario::Range;
 use flaxdale_model::server::ServerFault;
+use flaxdale_model::stats::OutcomeCounts;
 use flaxdale_model::timeline::{DISCOVERY_END, Timeline};
 use flaxdale_model::world::{
     FaultAction, LinkEnd, SECOND, ScheduledFault, World, millis, rng_stream, seconds,
--- a/rig/src/watchers.rs
+++ b/rig/src/watchers.rs
@@ -9,7 +9,7 @@
 use brookfield::Nanos;
 use flaxdale_fleet::call::{Call, HttpClient};
 use flaxdale_fleet::watch::{INSTANCES_PATH, ListHeader, ListUpdate, WatchClient, WatchPolicy};
-use flaxdale_model::ledger::Rule;
+use flaxdale_model::invariants::Rule;
 use hyper::StatusCode;
 use serde::Deserialize;
 use tokio::time::{sleep, timeout};
--- a/rig/src/wire.rs
+++ b/rig/src/wire.rs
@@ -8,7 +8,7 @@
 use brookfield::{
     Action, AttemptResult, BackendId, Event, ListScope, Member, Nanos, Outcome, RequestId, Stage,
 };
-use flaxdale_model::module::Module;
+use flaxdale_model::balancers::BalancerSet;
 use flaxdale_model::world::World;
 use serde_json::{Value, json};
 
@@ -151,7 +151,7 @@
     }
 }
 
-impl Module for Adapter {
+impl BalancerSet for Adapter {
     fn open(&mut self, node: usize, settings: &Value, seed: u64, _: Nanos) -> Result<(), String> {
         let mut config = settings.clone();
         config["me"] = json!(node);
