--- a/src/admission.rs
+++ b/src/admission.rs
@@ -15,32 +15,34 @@
 impl Balancer {
     /// Part of a tenant's requests that is beyond this node's part of its share.
     pub(crate) fn over_share(&self, tenant: usize) -> f64 {
-        let (Some(asked), Some(quota)) = (self.tenants.get(tenant), self.settings.tenant_quotas.get(tenant))
+        let (Some(asked), Some(quota)) =
+            (self.tenant_rates.get(tenant), self.settings.tenant_quotas.get(tenant))
         else {
             return 0.0;
         };
-        let part = quota / f64::from(self.settings.node_count) / asked.now(self.now).max(1e-9);
+        let part = quota / f64::from(self.settings.node_count) / asked.per_second(self.now).max(1e-9);
         // A node sees few requests of a tenant: half as many again may be chance.
         if self.settings.over_quota_value < 1.0 { (1.0 - 1.5 * part).max(0.0) } else { 0.0 }
     }
 
     /// Spreads what the list's figures leave room for over the classes, the worthiest for its work first.
     pub(crate) fn admit(&mut self) {
-        let asked = self.asked();
-        let taken = self.zones[self.settings.home_zone.0 as usize].taken;
+        let asked = self.arrival_rate();
+        let taken = self.zones[self.settings.home_zone.0 as usize].admitted_share;
         // A tenant that floods is turned away first, down to this node's part of its share.
-        let over: f64 =
-            (0..self.tenants.len()).map(|t| self.over_share(t) * self.tenants[t].now(self.now)).sum();
+        let over: f64 = (0..self.tenant_rates.len())
+            .map(|t| self.over_share(t) * self.tenant_rates[t].per_second(self.now))
+            .sum();
         let within = (1.0 - over / asked.max(1e-9)).clamp(0.1, 1.0);
-        self.over_admit =
+        self.over_quota_admit =
             if within < 1.0 { ((taken - within) / (1.0 - within)).clamp(0.0, 1.0) } else { taken };
         let taken = (taken / within).min(1.0);
         let mut left = taken * asked;
-        for class in self.by_value() {
+        for class in self.classes_by_priority() {
             let view = &mut self.classes[class];
-            let asked = view.asked.now(self.now);
+            let asked = view.arrivals.per_second(self.now);
             // A class not asked for of late is not one that there is no room for.
-            view.admit =
+            view.admit_probability =
                 if taken < 1.0 && asked > 0.1 { (left / asked).clamp(LEAST_TAKEN, 1.0) } else { 1.0 };
             left = (left - asked).max(0.0);
         }
@@ -49,20 +51,22 @@
     /// Whether a send there would be answered in time. Own idleness is no proof: where many nodes each send
     /// one to a backend that they hold nothing on, they jam it; so only one not known as slow.
     pub(crate) fn admits(&self, request: &Request, backend: &Backend) -> bool {
-        let end = if self.now >= request.aim_end { request.not_after } else { request.aim_end };
+        let end =
+            if self.now >= request.target_deadline { request.not_after } else { request.target_deadline };
         let left = end.saturating_sub(self.now) as f64;
         let slowness = backend.slowness(self.now, &self.settings.rules);
-        let stretch = slowness * backend.load(self.crowd());
+        let stretch = slowness * backend.load(self.nodes_per_zone());
         let view = &self.classes[request.class];
         // What was slow some time ago may be free again, which only a send can show; of those who use it one.
         let cold = backend.ramp(self.now, &self.settings.rules) < 1.0;
-        let users = if self.many() && !cold { self.crowd() * self.reach(backend.member.zone) } else { 1.0 };
+        let users =
+            if self.many() && !cold { self.nodes_per_zone() * self.reach(backend.member.zone) } else { 1.0 };
         let trial = (SLOW_FORGET as f64 / 10.0 * users) as Nanos;
-        let idle =
-            backend.in_flight == 0 && (slowness < IDLE_SLOW || !backend.slow.younger_than(self.now, trial));
+        let idle = backend.in_flight == 0
+            && (slowness < IDLE_SLOW || !backend.slowness_ewma.is_fresher_than(self.now, trial));
         // One too slow for the worthier class, even if idle, has no room to leave to it.
-        let room = if slowness * IDLE_LOAD < view.room { view.room } else { f64::INFINITY };
-        idle || stretch <= room.min(ADMIT * left / view.base)
+        let room = if slowness * IDLE_LOAD < view.load_limit { view.load_limit } else { f64::INFINITY };
+        idle || stretch <= room.min(ADMIT * left / view.base_latency)
     }
 
     pub(crate) fn dispatch(&mut self, id: RequestId, actions: &mut Vec<Action>) {
@@ -72,15 +76,15 @@
         if self.many() {
             self.end(id, actions);
         } else if let Some(request) = self.requests.get_mut(&id).filter(|r| r.phase == Phase::Open) {
-            request.phase = Phase::Held;
-            self.held.push(id);
+            request.phase = Phase::Queued;
+            self.queue.push(id);
         }
     }
 
     /// Sends what is held as room appears, the worthiest first.
     pub(crate) fn pump(&mut self, actions: &mut Vec<Action>) {
-        let valued = |&id| self.requests.get(&id).map(|r: &Request| (self.classes[r.class].value, id));
-        let mut order: Vec<(f64, RequestId)> = self.held.iter().filter_map(valued).collect();
+        let valued = |&id| self.requests.get(&id).map(|r: &Request| (self.classes[r.class].priority, id));
+        let mut order: Vec<(f64, RequestId)> = self.queue.iter().filter_map(valued).collect();
         order.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
         let unsent = |&(_, id): &_| !self.choose(id).is_some_and(|to| self.send(id, to, actions));
         // Where nine find no room, the rest need not be tried.
@@ -90,11 +94,11 @@
     /// Ends what can no longer be answered in time, while a refusal is still early.
     pub(crate) fn expire(&mut self, actions: &mut Vec<Action>) {
         let tick = self.tick();
-        for id in self.held.clone() {
-            let Some(held) = self.requests.get(&id).filter(|r| r.phase == Phase::Held) else { continue };
-            let least = (self.classes[held.class].base * IDLE_LOAD * 0.5) as Nanos + tick;
-            let late = self.now + least >= held.aim_end || self.now + tick >= held.not_after;
-            if late && !held.attempts.iter().any(Attempt::out) {
+        for id in self.queue.clone() {
+            let Some(held) = self.requests.get(&id).filter(|r| r.phase == Phase::Queued) else { continue };
+            let least = (self.classes[held.class].base_latency * IDLE_LOAD * 0.5) as Nanos + tick;
+            let late = self.now + least >= held.target_deadline || self.now + tick >= held.not_after;
+            if late && !held.attempts.iter().any(Attempt::is_in_flight) {
                 self.end(id, actions);
             }
         }
@@ -103,8 +107,11 @@
     /// What a unit of each class's work adds to the goal: worth, and more for the worst-served class.
     pub(crate) fn value_classes(&mut self) {
         let goal = self.settings.worst_class_weight.min(1.0);
-        let rates: Vec<(f64, f64)> =
-            self.classes.iter().map(|c| (c.asked.now(self.now), c.served.now(self.now))).collect();
+        let rates: Vec<(f64, f64)> = self
+            .classes
+            .iter()
+            .map(|c| (c.arrivals.per_second(self.now), c.served.per_second(self.now)))
+            .collect();
         let total_value: f64 = rates.iter().zip(&self.settings.classes).map(|(r, c)| r.0 * c.value).sum();
         let part = |(asked, served): (f64, f64)| if asked > 0.0 { served / asked } else { 1.0 };
         let worst = rates.iter().map(|&rate| part(rate)).fold(1.0, f64::min);
@@ -113,15 +120,16 @@
             if part(rate) <= worst {
                 value += goal / rate.0.max(1e-9);
             }
-            view.value = if self.settings.value_per_work { value } else { value / view.base.max(1.0) };
+            view.priority =
+                if self.settings.value_per_work { value } else { value / view.base_latency.max(1.0) };
         }
         // A worthy class with a tight aim would find all room taken by lesser ones with a wide aim.
         let mut room = f64::INFINITY;
-        for class in self.by_value().into_iter().filter(|&class| rates[class].0 > 0.1) {
+        for class in self.classes_by_priority().into_iter().filter(|&class| rates[class].0 > 0.1) {
             let aim = self.settings.classes[class].latency_target as f64;
             let view = &mut self.classes[class];
-            room = (room * PRECEDENCE).min(ADMIT * aim / view.base.max(1.0));
-            view.room = room;
+            room = (room * PRECEDENCE).min(ADMIT * aim / view.base_latency.max(1.0));
+            view.load_limit = room;
         }
     }
 }
--- a/src/backend_view.rs
+++ b/src/backend_view.rs
@@ -28,8 +28,8 @@
     /// Load in requests for each unit of size: own ones, times the nodes that do alike; where these are
     /// many, what all nodes have been told.
     pub(crate) fn load(&self, crowd: f64) -> f64 {
-        let own = f64::from(self.in_flight) / self.size();
-        match self.held {
+        let own = f64::from(self.in_flight) / self.capacity();
+        match self.requests_per_core {
             Some(held) if crowd > SHARED_VIEW => IDLE_LOAD + held.max(own),
             None if crowd > SHARED_VIEW => IDLE_LOAD + own,
             _ => IDLE_LOAD + crowd * own,
@@ -39,8 +39,8 @@
     /// Slowness against the fleet's mean, forgotten towards what its ramp implies.
     pub(crate) fn slowness(&self, now: Nanos, rules: &RuleParameters) -> f64 {
         let prior = 1.0 / self.ramp(now, rules);
-        let Some(at) = self.slow.at else { return prior };
-        prior + (self.slow.value - prior) * decay(now.saturating_sub(at), SLOW_FORGET)
+        let Some(at) = self.slowness_ewma.at else { return prior };
+        prior + (self.slowness_ewma.value - prior) * decay_factor(now.saturating_sub(at), SLOW_FORGET)
     }
 }
 
@@ -48,21 +48,21 @@
     /// How long an answer from there should take, in nanoseconds.
     pub(crate) fn expected_delay(&self, backend: &Backend, class: usize) -> f64 {
         let slowness = backend.slowness(self.now, &self.settings.rules);
-        slowness * backend.load(self.crowd()) * self.classes[class].base
+        slowness * backend.load(self.nodes_per_zone()) * self.classes[class].base_latency
     }
 
     /// Takes a load report in; figures that are not finite or not possible are passed over.
     pub(crate) fn report(&mut self, id: BackendId, report: LoadReport) {
         let Some(backend) = self.backends.get_mut(&id) else { return };
         if let Some(util) = report.util.filter(|util| util.is_finite() && *util >= 0.0) {
-            backend.util.feed(self.now, util.min(1.5), UTIL_SMOOTHING, 0.05);
-            self.util_at = Some(self.now);
+            backend.utilisation.update(self.now, util.min(1.5), UTIL_SMOOTHING, 0.05);
+            self.utilisation_at = Some(self.now);
         }
     }
 
     /// Whether any utilisation at all is young enough to say something.
     pub(crate) fn told_util(&self) -> bool {
-        self.util_at.is_some_and(|at| self.now.saturating_sub(at) < UTIL_TRUST)
+        self.utilisation_at.is_some_and(|at| self.now.saturating_sub(at) < UTIL_TRUST)
     }
 
     /// Learns slowness, base time and served rate from one outcome.
@@ -78,21 +78,22 @@
         backend.in_flight = backend.in_flight.saturating_sub(1);
         let view = &mut self.classes[class];
         let unit = settled.elapsed as f64 / load;
-        let slow = (unit / view.base.max(1.0)).min(SLOW_CLAMP * backend.slow.value.max(1.0));
+        let slow = (unit / view.base_latency.max(1.0)).min(SLOW_CLAMP * backend.slowness_ewma.value.max(1.0));
         // No answer at all tells of a delay of at least the time waited.
-        let longer = settled.outcome == Outcome::TimedOut && slow > backend.slow.value;
+        let longer = settled.outcome == Outcome::TimedOut && slow > backend.slowness_ewma.value;
         if settled.outcome == Outcome::Served || longer {
-            backend.slow.feed(self.now, slow, SLOW_SMOOTHING, 0.1);
+            backend.slowness_ewma.update(self.now, slow, SLOW_SMOOTHING, 0.1);
         }
         if settled.outcome == Outcome::Served {
-            backend.served.add(self.now, cost);
+            backend.served_work.add(self.now, cost);
             view.samples = (view.samples + 1.0).min(BASE_SAMPLES);
             // Rises slowly, so that a jam does not come to pass for the normal state.
-            let weight = if unit > view.base && view.samples > 50.0 { BASE_RISE } else { 1.0 };
-            view.base += (unit.min(SLOW_CLAMP * view.base) - view.base) * weight / (view.samples + 4.0);
+            let weight = if unit > view.base_latency && view.samples > 50.0 { BASE_RISE } else { 1.0 };
+            view.base_latency += (unit.min(SLOW_CLAMP * view.base_latency) - view.base_latency) * weight
+                / (view.samples + 4.0);
             if let Some(zone) = self.zones.get_mut(backend.member.zone.0 as usize) {
                 let elapsed = settled.elapsed as f64;
-                zone.least_elapsed = Some(zone.least_elapsed.map_or(elapsed, |least| least.min(elapsed)));
+                zone.min_latency = Some(zone.min_latency.map_or(elapsed, |least| least.min(elapsed)));
             }
         }
     }
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -31,7 +31,7 @@
             Event::ClientDisconnected { request } => self.forget(request),
             Event::Timer { .. } => self.housekeeping(actions),
         }
-        self.held.retain(|id| self.requests.get(id).is_some_and(|request| request.phase == Phase::Held));
+        self.queue.retain(|id| self.requests.get(id).is_some_and(|request| request.phase == Phase::Queued));
         self.arm(actions);
     }
 
@@ -42,19 +42,20 @@
     /// Asks for the next wake-up only while something waits for one: at full size a timer that always ran
     /// cost more than all requests together (it cut full-size days off as too slow).
     pub(crate) fn arm(&mut self, actions: &mut Vec<Action>) {
-        let held = (!self.held.is_empty()).then(|| self.now + self.tick());
-        let Some(next) = held.into_iter().chain(self.ask_at.map(|at| at.max(self.now + MS))).min() else {
+        let held = (!self.queue.is_empty()).then(|| self.now + self.tick());
+        let Some(next) = held.into_iter().chain(self.watch_retry_at.map(|at| at.max(self.now + MS))).min()
+        else {
             return;
         };
-        if self.armed.is_none_or(|at| at <= self.now || next < at) {
-            self.armed = Some(next);
+        if self.timer_due_at.is_none_or(|at| at <= self.now || next < at) {
+            self.timer_due_at = Some(next);
             actions.push(Action::Timer { after: next - self.now, token: 0 });
         }
     }
 
     pub(crate) fn housekeeping(&mut self, actions: &mut Vec<Action>) {
-        if self.ask_at.is_some_and(|at| self.now >= at) {
-            self.ask_at = None;
+        if self.watch_retry_at.is_some_and(|at| self.now >= at) {
+            self.watch_retry_at = None;
             actions.push(Action::Watch);
         }
         self.refresh(actions);
@@ -64,8 +65,8 @@
 
     /// Log lines are for people: at most one a second.
     pub(crate) fn log(&mut self, actions: &mut Vec<Action>, note: LogEvent) {
-        if self.now >= self.log_at {
-            self.log_at = self.now + SECOND;
+        if self.now >= self.next_log_at {
+            self.next_log_at = self.now + SECOND;
             actions.push(Action::Log(note));
         }
     }
--- a/src/concurrency.rs
+++ b/src/concurrency.rs
@@ -17,8 +17,8 @@
 
 impl Zone {
     /// Most own attempts out there.
-    pub(crate) fn window(&self) -> f64 {
-        self.window.unwrap_or(self.window_start).max(WINDOW_LEAST)
+    pub(crate) fn concurrency_limit(&self) -> f64 {
+        self.concurrency_limit.unwrap_or(self.initial_limit).max(WINDOW_LEAST)
     }
 }
 
@@ -34,20 +34,20 @@
             _ => return,
         };
         let Some(view) = self.zones.get_mut(zone.0 as usize) else { return };
-        let (window, step) = (view.window(), WINDOW_STEP * (WANTED - part.min(1.5)));
+        let (window, step) = (view.concurrency_limit(), WINDOW_STEP * (WANTED - part.min(1.5)));
         // One that is hardly used says nothing of what would come of using it. Yet a node's few requests come
         // by chance, some at once and then none: that takes several times as much as is out on the mean.
-        let step = if 4.0 * (view.own + 1.0) < window { step.min(0.0) } else { step };
+        let step = if 4.0 * (view.in_flight + 1.0) < window { step.min(0.0) } else { step };
         // So few sends prove little each: the next window is the double, up to one at a time.
         let step = if step > 0.0 && window < 1.0 { window } else { step };
-        view.window = Some((window + step).max(WINDOW_LEAST));
+        view.concurrency_limit = Some((window + step).max(WINDOW_LEAST));
     }
 
     /// Whether a zone's window, or this part of it, has room.
     pub(crate) fn roomy(&self, zone: ZoneId, part: f64) -> bool {
         let Some(view) = self.zones.get(zone.0 as usize).filter(|_| self.many()) else { return true };
-        let window = part * view.window();
-        let rested = self.now.saturating_sub(view.sent_at) as f64 * window >= WINDOW_SPAN;
-        view.own < window.max(1.0) && (window >= 1.0 || rested)
+        let window = part * view.concurrency_limit();
+        let rested = self.now.saturating_sub(view.last_sent_at) as f64 * window >= WINDOW_SPAN;
+        view.in_flight < window.max(1.0) && (window >= 1.0 || rested)
     }
 }
--- a/src/crowding.rs
+++ b/src/crowding.rs
@@ -12,12 +12,12 @@
 impl Balancer {
     /// Whether so many nodes share the backends that own figures say little of these.
     pub(crate) fn many(&self) -> bool {
-        self.crowd() > SHARED_VIEW
+        self.nodes_per_zone() > SHARED_VIEW
     }
 
     /// The part of a zone's backends that a node keeps to.
     pub(crate) fn reach(&self, zone: ZoneId) -> f64 {
-        let listed = self.zones.get(zone.0 as usize).map_or(0.0, |zone| zone.listed);
+        let listed = self.zones.get(zone.0 as usize).map_or(0.0, |zone| zone.backend_count);
         if self.many() { (SUBSET as f64 / listed.max(1.0)).min(1.0) } else { 1.0 }
     }
 }
--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -20,7 +20,7 @@
 impl Balancer {
     pub(crate) fn fleet(&mut self, scope: ListScope, members: Vec<Member>) {
         if scope != ListScope::Cached {
-            self.ask_failures = 0;
+            self.discovery_failures = 0;
         }
         if scope != ListScope::Changes {
             let named: BTreeSet<BackendId> = members.iter().map(|member| member.backend).collect();
@@ -30,13 +30,13 @@
         }
         let live = self.settings.weight_kind == WeightKind::Live;
         for member in members.iter().filter(|member| live && member.weight.is_finite()) {
-            let known = self.kind_size.entry(member.kind).or_insert(0.0);
+            let known = self.kind_capacity.entry(member.kind).or_insert(0.0);
             *known = known.max(member.weight);
         }
         for mut member in members {
             let told = member.weight;
             if live {
-                member.weight = self.kind_size.get(&member.kind).copied().unwrap_or(1.0);
+                member.weight = self.kind_capacity.get(&member.kind).copied().unwrap_or(1.0);
             }
             let backend = self.backends.entry(member.backend).or_insert_with(|| Backend::new(member));
             if backend.member.online_since != member.online_since {
@@ -44,34 +44,39 @@
                 *backend = Backend { in_flight, ..Backend::new(member) };
             }
             backend.member = member;
-            backend.lot = mix(self.seed ^ u64::from(member.backend.0).wrapping_mul(0xd6e8_feb8_6659_fd93));
-            backend.held = (live && told > 0.0).then(|| (member.weight / told - 1.0).max(0.0));
+            backend.rendezvous_hash =
+                mix64(self.seed ^ u64::from(member.backend.0).wrapping_mul(0xd6e8_feb8_6659_fd93));
+            backend.requests_per_core = (live && told > 0.0).then(|| (member.weight / told - 1.0).max(0.0));
         }
         // One that is told as gone and ready again in the same life has been sent what it was sent.
         let since = self.slow_start_since();
-        let spent = |backend: &Backend| backend.cold_sends.back().is_some_and(|(at, _)| *at >= since);
+        let spent = |backend: &Backend| backend.slow_start_sends.back().is_some_and(|(at, _)| *at >= since);
         self.backends.retain(|_, b| b.member.stage != Stage::Gone || b.in_flight > 0 || spent(b));
-        self.members.iter_mut().chain(&mut self.subsets).for_each(Vec::clear);
+        self.zone_backends.iter_mut().chain(&mut self.zone_subsets).for_each(Vec::clear);
         for (&id, backend) in &self.backends {
-            self.members.get_mut(backend.member.zone.0 as usize).into_iter().for_each(|ids| ids.push(id));
+            self.zone_backends
+                .get_mut(backend.member.zone.0 as usize)
+                .into_iter()
+                .for_each(|ids| ids.push(id));
         }
         for (zone, view) in self.zones.iter_mut().enumerate() {
-            let all = || self.members[zone].iter().filter_map(|id| Some((*id, self.backends.get(id)?)));
+            let all = || self.zone_backends[zone].iter().filter_map(|id| Some((*id, self.backends.get(id)?)));
             let listed = || all().map(|(_, b)| b).filter(|b| b.member.stage == Stage::InService);
-            let mut lots: Vec<u64> = listed().map(|b| b.lot).collect();
-            lots.sort_unstable();
-            view.listed = lots.len() as f64;
-            view.size = listed().map(Backend::size).sum();
-            view.subset = lots.get(SUBSET - 1).copied().unwrap_or(u64::MAX);
-            self.subsets[zone].extend(all().filter(|(_, b)| b.lot <= view.subset).map(|(id, _)| id));
+            let mut hashes: Vec<u64> = listed().map(|b| b.rendezvous_hash).collect();
+            hashes.sort_unstable();
+            view.backend_count = hashes.len() as f64;
+            view.capacity = listed().map(Backend::capacity).sum();
+            view.subset_max_hash = hashes.get(SUBSET - 1).copied().unwrap_or(u64::MAX);
+            self.zone_subsets[zone]
+                .extend(all().filter(|(_, b)| b.rendezvous_hash <= view.subset_max_hash).map(|(id, _)| id));
         }
         // Before anything has come back a zone is expected to be asked for as much as any other, whatever its
         // size, and by the nodes of all others together no more than by its own.
         let zones = f64::from(self.settings.zone_count);
-        let mean = (self.zones.iter().map(|zone| zone.size).sum::<f64>() / zones).max(1e-9);
+        let mean = (self.zones.iter().map(|zone| zone.capacity).sum::<f64>() / zones).max(1e-9);
         for (zone, view) in self.zones.iter_mut().enumerate() {
             let users = if zone == self.settings.home_zone.0 as usize { 1.0 } else { zones };
-            view.window_start = WINDOW_START * view.size / mean / users;
+            view.initial_limit = WINDOW_START * view.capacity / mean / users;
         }
         if live && scope != ListScope::Cached {
             self.interpret();
@@ -82,38 +87,44 @@
     /// moves by what evens out the figures over the arrivals of about the time until the next ones show
     /// (load interpretation), no more, or all nodes would herd; what lasts is learned in small steps.
     pub(crate) fn interpret(&mut self) {
-        let period = self.listed_at.map_or(1.0, |at| self.now.saturating_sub(at) as f64 / SECOND as f64);
-        self.list_period += (period.min(3.0) - self.list_period) * 0.2;
-        self.listed_at = Some(self.now);
+        let period =
+            self.list_received_at.map_or(1.0, |at| self.now.saturating_sub(at) as f64 / SECOND as f64);
+        self.list_interval_s += (period.min(3.0) - self.list_interval_s) * 0.2;
+        self.list_received_at = Some(self.now);
         let mut sums = vec![(0.0, 0.0, 0.0); self.zones.len()];
         for backend in self.backends.values().filter(|b| b.member.stage == Stage::InService) {
-            if let (Some(sum), Some(held)) = (sums.get_mut(backend.member.zone.0 as usize), backend.held) {
-                *sum = (sum.0 + 1.0, sum.1 + held, sum.2 + backend.size());
+            if let (Some(sum), Some(held)) =
+                (sums.get_mut(backend.member.zone.0 as usize), backend.requests_per_core)
+            {
+                *sum = (sum.0 + 1.0, sum.1 + held, sum.2 + backend.capacity());
             }
         }
-        let arrivals = self.asked() * self.crowd() * 2.0 * self.list_period;
-        self.zones.iter_mut().zip(&sums).for_each(|(zone, sum)| zone.held = sum.1 / f64::max(sum.0, 1.0));
+        let arrivals = self.arrival_rate() * self.nodes_per_zone() * 2.0 * self.list_interval_s;
+        self.zones
+            .iter_mut()
+            .zip(&sums)
+            .for_each(|(zone, sum)| zone.mean_requests_per_core = sum.1 / f64::max(sum.0, 1.0));
         for backend in self.backends.values_mut() {
             let (Some(&(count, total, size)), Some(held)) =
-                (sums.get(backend.member.zone.0 as usize), backend.held)
+                (sums.get(backend.member.zone.0 as usize), backend.requests_per_core)
             else {
                 continue;
             };
             // A slow machine should hold less for the same delay.
-            let mean = ((total + count) / f64::max(size, 1e-9) * backend.size() - 1.0).max(0.2);
-            let coming = (arrivals * backend.size() / f64::max(size, 1e-9)).max(1.0);
-            backend.response = (1.0 + (mean - held) / coming).clamp(RESPONSE.0, RESPONSE.1);
+            let mean = ((total + count) / f64::max(size, 1e-9) * backend.capacity() - 1.0).max(0.2);
+            let coming = (arrivals * backend.capacity() / f64::max(size, 1e-9)).max(1.0);
+            backend.weight_correction = (1.0 + (mean - held) / coming).clamp(RESPONSE.0, RESPONSE.1);
             let step = BIAS_STEP * (mean - held) / (mean + 1.0).max(held);
-            backend.bias = (backend.bias * step.exp()).clamp(BIAS.0, BIAS.1);
-            backend.util.feed(self.now, held / (1.0 + held), UTIL_SMOOTHING, 0.05);
-            self.util_at = Some(self.now);
+            backend.weight_bias = (backend.weight_bias * step.exp()).clamp(BIAS.0, BIAS.1);
+            backend.utilisation.update(self.now, held / (1.0 + held), UTIL_SMOOTHING, 0.05);
+            self.utilisation_at = Some(self.now);
         }
         self.share_out();
     }
 
     pub(crate) fn ask_later(&mut self) {
-        let wait = (ASK_AGAIN << self.ask_failures.min(3)) as f64 * (0.75 + 0.5 * self.draw());
-        self.ask_failures += 1;
-        self.ask_at = Some(self.now + wait as Nanos);
+        let wait = (ASK_AGAIN << self.discovery_failures.min(3)) as f64 * (0.75 + 0.5 * self.random_unit());
+        self.discovery_failures += 1;
+        self.watch_retry_at = Some(self.now + wait as Nanos);
     }
 }
--- a/src/health.rs
+++ b/src/health.rs
@@ -16,7 +16,7 @@
 
 impl Balancer {
     pub(crate) fn usable(&self, backend: &Backend) -> bool {
-        if self.now < backend.full_until {
+        if self.now < backend.backoff_until {
             return false;
         }
         match backend.health {
@@ -41,14 +41,14 @@
         // Sent away at once, again and again, a backend looks idle and would draw all traffic. With many
         // nodes a refused connection may mean a full table as well as a dead process; a silent one does not.
         if turned_away {
-            backend.full_until = self.now + (FULL_FOR << backend.full_in_row.min(4));
-            backend.full_in_row += 1;
+            backend.backoff_until = self.now + (FULL_FOR << backend.consecutive_rejections.min(4));
+            backend.consecutive_rejections += 1;
             return;
         }
-        backend.full_in_row = 0;
-        backend.failing.feed(self.now, if weight > 0 { 1.0 } else { 0.0 }, SECOND, 0.1);
+        backend.consecutive_rejections = 0;
+        backend.failure_rate.update(self.now, if weight > 0 { 1.0 } else { 0.0 }, SECOND, 0.1);
         if weight == 0 {
-            backend.failed_in_row = 0;
+            backend.consecutive_failures = 0;
             match backend.health {
                 Health::HalfOpen { served: 0 } => backend.health = Health::HalfOpen { served: 1 },
                 Health::HalfOpen { .. } => {
@@ -60,18 +60,19 @@
             }
             return;
         }
-        backend.failed_in_row += weight;
+        backend.consecutive_failures += weight;
         let listed = self.backends.values().filter(|b| b.member.stage == Stage::InService).count() as f64;
         let ejected = self.backends.values().filter(|b| b.health != Health::Healthy).count() as f64;
-        let failing = self.backends.values().map(|b| b.failing.value).sum::<f64>() / listed.max(1.0);
+        let failing = self.backends.values().map(|b| b.failure_rate.value).sum::<f64>() / listed.max(1.0);
         let Some(backend) = self.backends.get_mut(&id) else { return };
-        let outlier = backend.failed_in_row >= EJECT_AFTER && backend.failing.value > 2.0 * failing.min(0.4);
+        let outlier = backend.consecutive_failures >= EJECT_AFTER
+            && backend.failure_rate.value > 2.0 * failing.min(0.4);
         let failed_trial = matches!(backend.health, Health::HalfOpen { .. });
         let room = ejected + 1.0 <= listed * EJECT_SHARE;
         if failed_trial || (outlier && room && backend.health == Health::Healthy) {
             let span = EJECT_FOR << backend.ejections.min(5);
             backend.ejections += 1;
-            backend.failed_in_row = 0;
+            backend.consecutive_failures = 0;
             backend.health = Health::Ejected { until: self.now + span };
             self.log(actions, LogEvent::Ejected { backend: id, duration: span, cause: outcome });
         }
--- a/src/pick.rs
+++ b/src/pick.rs
@@ -13,16 +13,16 @@
     pub(crate) fn pick(&self, id: RequestId, zone: ZoneId) -> Option<BackendId> {
         // Many nodes on every backend would fill its table of connections and pay for opening them: each
         // keeps to a few by its own lots. One that is busy is still its own: the others are as busy.
-        let subset = self.zones.get(zone.0 as usize).filter(|_| self.roomy(zone, 1.0))?.subset;
+        let subset = self.zones.get(zone.0 as usize).filter(|_| self.roomy(zone, 1.0))?.subset_max_hash;
         self.pick_among(id, zone, if self.many() { subset } else { u64::MAX })
     }
 
     pub(crate) fn pick_among(&self, id: RequestId, zone: ZoneId, subset: u64) -> Option<BackendId> {
         let (mut best, mut total) = (None, 0.0);
         let request = self.requests.get(&id)?;
-        let mut jitter = self.random ^ id.0.wrapping_mul(0xd6e8_feb8_6659_fd93);
+        let mut jitter = self.rng_state ^ id.0.wrapping_mul(0xd6e8_feb8_6659_fd93);
         // A zone of hundreds is gone through only where its subset has nobody.
-        let within = if subset == u64::MAX { &self.members } else { &self.subsets };
+        let within = if subset == u64::MAX { &self.zone_backends } else { &self.zone_subsets };
         for &to in within.get(zone.0 as usize)? {
             let Some(backend) = self.backends.get(&to) else { continue };
             if !self.usable(backend) || !self.admits(request, backend) || !self.permits(request, backend) {
@@ -32,15 +32,17 @@
             let chance = (jitter >> 40) as f64 / (1u64 << 24) as f64;
             let tried = request.attempts.iter().any(|attempt| attempt.backend == to);
             // Failing fast must not look idle: failures weigh like delay; faded, or no trial would be made.
-            let failing =
-                1.0 + 8.0 * backend.failing.fading(self.now, SLOW_FORGET) + if tried { 4.0 } else { 0.0 };
+            let failing = 1.0
+                + 8.0 * backend.failure_rate.decayed(self.now, SLOW_FORGET)
+                + if tried { 4.0 } else { 0.0 };
             if self.many() {
                 // Where the list tells the load, a few answers of one's own would only add noise.
-                let drag = match backend.held {
+                let drag = match backend.requests_per_core {
                     Some(_) => 1.0 / backend.ramp(self.now, &self.settings.rules),
                     None => backend.slowness(self.now, &self.settings.rules).max(0.5),
                 };
-                let share = backend.size() * backend.bias * backend.response / (failing * drag);
+                let share =
+                    backend.capacity() * backend.weight_bias * backend.weight_correction / (failing * drag);
                 total += share;
                 if chance * total < share {
                     best = Some((0.0, to));
@@ -48,7 +50,7 @@
                 continue;
             }
             let slowness = backend.slowness(self.now, &self.settings.rules);
-            let delay = slowness * backend.load(self.crowd()) * failing * (1.0 + JITTER * chance);
+            let delay = slowness * backend.load(self.nodes_per_zone()) * failing * (1.0 + JITTER * chance);
             if best.is_none_or(|(least, _)| delay < least) {
                 best = Some((delay, to));
             }
--- a/src/request_ledger.rs
+++ b/src/request_ledger.rs
@@ -12,9 +12,9 @@
 
 impl Balancer {
     /// Counts own attempts in a zone, or their ends.
-    pub(crate) fn count_own(&mut self, zone: ZoneId, change: f64) {
+    pub(crate) fn add_in_flight(&mut self, zone: ZoneId, change: f64) {
         if let Some(view) = self.zones.get_mut(zone.0 as usize) {
-            view.count_own(self.now, change, UTIL_SMOOTHING);
+            view.add_in_flight(self.now, change, UTIL_SMOOTHING);
         }
     }
 
@@ -22,27 +22,27 @@
         let class = (arrival.class.0 as usize).min(self.classes.len() - 1);
         let many = self.many();
         let view = &mut self.classes[class];
-        let cost = arrival.cost_hint.map_or(view.base * IDLE_LOAD, |hint| hint as f64).max(1.0);
-        view.cost += (cost - view.cost) * if view.cost > 0.0 { COST_SMOOTHING } else { 1.0 };
+        let cost = arrival.cost_hint.map_or(view.base_latency * IDLE_LOAD, |hint| hint as f64).max(1.0);
+        view.mean_cost += (cost - view.mean_cost) * if view.mean_cost > 0.0 { COST_SMOOTHING } else { 1.0 };
         self.mean_cost += (cost - self.mean_cost) * if self.mean_cost > 0.0 { COST_SMOOTHING } else { 1.0 };
         // A try well shorter than others ends with the client's deadline: that tells when its first try came,
         // and the aim counts from then. Arrivals jitter, so a little shorter is no sign. Where repeats
         // are marked the rest are first tries: repeats may get more time, which made those look late.
         let wait = arrival.not_after.saturating_sub(self.now);
-        view.longest_try = view.longest_try.max(wait);
+        view.max_wait = view.max_wait.max(wait);
         let worthless_late = self.settings.classes[class].late_value_share == 0.0;
         let again = (arrival.is_retry || !self.settings.retries_marked) && (worthless_late || many);
-        let again = again && wait < view.longest_try - view.longest_try / 8;
+        let again = again && wait < view.max_wait - view.max_wait / 8;
         let began = arrival.not_after.saturating_sub(self.settings.classes[class].deadline);
         let first = if again { began.min(self.now) } else { self.now };
-        let admit = view.admit;
-        let aim_end = arrival.not_after.min(first + self.settings.classes[class].latency_target);
+        let admit = view.admit_probability;
+        let target_deadline = arrival.not_after.min(first + self.settings.classes[class].latency_target);
         let request = Request {
             class,
             cost,
             // Picking the requests with small hints for a small budget picks the hints that are too low.
-            cold_cost: cost.max(view.cost),
-            aim_end,
+            slow_start_cost: cost.max(view.mean_cost),
+            target_deadline,
             not_after: arrival.not_after,
             attempts: Vec::new(),
             phase: Phase::Open,
@@ -52,22 +52,22 @@
         self.refresh(actions);
         // Guards against jams that feed on their own repeats: what is past its aim, or more than the servers
         // can do in time, is turned away before it costs them anything.
-        let late = aim_end <= self.now;
+        let late = target_deadline <= self.now;
         let past = late && (worthless_late || (many && admit < 1.0));
         let tenant = arrival.tenant.map_or(usize::MAX, |tenant| tenant as usize);
         if !past {
-            self.classes[class].asked.add(self.now, 1.0);
-            self.tenants.get_mut(tenant).into_iter().for_each(|asked| asked.add(self.now, 1.0));
+            self.classes[class].arrivals.add(self.now, 1.0);
+            self.tenant_rates.get_mut(tenant).into_iter().for_each(|asked| asked.add(self.now, 1.0));
         }
         let over = self.over_share(tenant);
-        let admit = if over > 0.0 && self.draw() < over { self.over_admit } else { admit };
+        let admit = if over > 0.0 && self.random_unit() < over { self.over_quota_admit } else { admit };
         // What is worth little leaves room to the rest.
-        let lesser = many && (late || (over > 0.0 && self.draw() < over));
+        let lesser = many && (late || (over > 0.0 && self.random_unit() < over));
         let part = if lesser { WINDOW_LESSER } else { 1.0 };
         let home = self.settings.home_zone;
         let full =
             !past && !self.roomy(home, part) && !self.target().is_some_and(|zone| self.roomy(zone, part));
-        if past || full || (admit < 1.0 && self.draw() >= admit) {
+        if past || full || (admit < 1.0 && self.random_unit() >= admit) {
             self.end(arrival.request, actions);
             return;
         }
@@ -77,9 +77,10 @@
     /// The contract gate: whether this request may be sent to this backend now. Every send passes it.
     pub(crate) fn permits(&self, request: &Request, backend: &Backend) -> bool {
         let class = &self.settings.classes[request.class];
-        let live = matches!(request.phase, Phase::Open | Phase::Held) && self.now < request.not_after;
+        let live = matches!(request.phase, Phase::Open | Phase::Queued) && self.now < request.not_after;
         let attempts_left = (request.attempts.len() as u32) < self.settings.limits.max_attempts;
-        let alone = self.settings.limits.concurrent_attempts || !request.attempts.iter().any(Attempt::out);
+        let alone =
+            self.settings.limits.concurrent_attempts || !request.attempts.iter().any(Attempt::is_in_flight);
         let ran = request.attempts.iter().find(|attempt| attempt.may_have_run());
         let repeat_dropped = match (class.idempotency, ran) {
             (Idempotency::Idempotent, _) | (_, None) => true,
@@ -106,12 +107,12 @@
         };
         let first = request.attempts.iter().find(|attempt| attempt.may_have_run())?;
         let delay = self.expected_delay(backend, request.class);
-        Some(first.sent.saturating_add(window).saturating_sub(delay as Nanos + self.settings.quantum))
+        Some(first.sent_at.saturating_add(window).saturating_sub(delay as Nanos + self.settings.quantum))
     }
 
     /// The one place that sends. False where the gate forbids it.
     pub(crate) fn send(&mut self, id: RequestId, to: BackendId, actions: &mut Vec<Action>) -> bool {
-        let (crowd, gate) = (self.crowd(), self.requests.get(&id).zip(self.backends.get(&to)));
+        let (crowd, gate) = (self.nodes_per_zone(), self.requests.get(&id).zip(self.backends.get(&to)));
         if !gate.is_some_and(|(request, backend)| self.permits(request, backend)) {
             return false;
         }
@@ -126,16 +127,16 @@
             backend: to,
             zone: backend.member.zone,
             cell: backend.member.cell,
-            sent: self.now,
+            sent_at: self.now,
             load: backend.load(crowd),
             outcome: None,
         });
         backend.in_flight += 1;
-        let (class, aim_end, zone) = (request.class, request.aim_end, backend.member.zone);
-        self.zones.get_mut(zone.0 as usize).into_iter().for_each(|view| view.sent_at = self.now);
+        let (class, target_deadline, zone) = (request.class, request.target_deadline, backend.member.zone);
+        self.zones.get_mut(zone.0 as usize).into_iter().for_each(|view| view.last_sent_at = self.now);
         if let Some(decision) = slow_start {
-            backend.cold_sends.retain(|(at, _)| *at >= since);
-            backend.cold_sends.push_back((self.now, decision.cost));
+            backend.slow_start_sends.retain(|(at, _)| *at >= since);
+            backend.slow_start_sends.push_back((self.now, decision.cost));
             actions.push(Action::Log(LogEvent::SlowStart(decision)));
         }
         if let Health::Ejected { .. } = backend.health {
@@ -145,11 +146,12 @@
         // is admitted by own figures hardly waits that long, and the repeats cost more.
         let late_value_share = self.settings.classes[class].late_value_share;
         let drop_late = self.many()
-            && (late_value_share == 0.0 || (late_value_share <= 0.5 && self.classes[class].admit < 1.0));
-        let late = (drop_late && aim_end > self.now).then(|| aim_end - self.now);
-        let timeout = late.or_else(|| self.patience(class, to, aim_end));
+            && (late_value_share == 0.0
+                || (late_value_share <= 0.5 && self.classes[class].admit_probability < 1.0));
+        let late = (drop_late && target_deadline > self.now).then(|| target_deadline - self.now);
+        let timeout = late.or_else(|| self.patience(class, to, target_deadline));
         actions.push(Action::Send { request: id, backend: to, timeout, send_by });
-        self.count_own(zone, 1.0);
+        self.add_in_flight(zone, 1.0);
         true
     }
 
@@ -176,7 +178,7 @@
 
     pub(crate) fn cancel_rest(&self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|_| self.settings.limits.cancel) else { return };
-        let out = request.attempts.iter().zip(0..).filter(|(attempt, _)| attempt.out());
+        let out = request.attempts.iter().zip(0..).filter(|(attempt, _)| attempt.is_in_flight());
         actions.extend(out.map(|(_, attempt)| Action::Cancel { request: id, attempt }));
     }
 
@@ -184,27 +186,33 @@
     pub(crate) fn forget(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.phase = Phase::Ended;
-        if !request.attempts.iter().any(Attempt::out) {
+        if !request.attempts.iter().any(Attempt::is_in_flight) {
             self.requests.remove(&id);
         }
     }
 
     pub(crate) fn settle(&mut self, settled: AttemptResult, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&settled.request) else { return };
-        let (class, cost, aim_end) = (request.class, request.cost, request.aim_end);
-        let Some(attempt) = request.attempts.get_mut(settled.attempt as usize).filter(|a| a.out()) else {
+        let (class, cost, target_deadline) = (request.class, request.cost, request.target_deadline);
+        let Some(attempt) = request.attempts.get_mut(settled.attempt as usize).filter(|a| a.is_in_flight())
+        else {
             return;
         };
         attempt.outcome = Some(settled.outcome);
-        let (to, load, zone, sent) = (attempt.backend, attempt.load, attempt.zone, attempt.sent);
+        let (to, load, zone, sent) = (attempt.backend, attempt.load, attempt.zone, attempt.sent_at);
         let open = request.phase != Phase::Ended;
-        self.count_own(zone, -1.0);
+        self.add_in_flight(zone, -1.0);
         self.learn(to, class, self.mean_parts(cost), load, &settled);
         self.judge(to, &settled, actions);
         self.report(to, settled.report);
-        self.resize(zone, &settled, class, aim_end < sent + self.settings.classes[class].latency_target / 2);
+        self.resize(
+            zone,
+            &settled,
+            class,
+            target_deadline < sent + self.settings.classes[class].latency_target / 2,
+        );
         if settled.request_ended || !open {
-            if open && settled.outcome == Outcome::Served && (self.now <= aim_end || !self.many()) {
+            if open && settled.outcome == Outcome::Served && (self.now <= target_deadline || !self.many()) {
                 self.classes[class].served.add(self.now, 1.0);
             }
             if open {
--- a/src/retries.rs
+++ b/src/retries.rs
@@ -12,12 +12,12 @@
 impl Balancer {
     /// Most retries that a node may save up: many nodes together must not save a storm.
     pub(crate) fn retries_saved(&self) -> f64 {
-        (RETRY_SAVED / self.crowd()).max(1.0)
+        (RETRY_SAVED / self.nodes_per_zone()).max(1.0)
     }
 
     /// How long to wait for an answer that another server may give as well: a server that hangs answers none.
     /// So long that slowness is no sign of it, and so short that there is time for the other.
-    pub(crate) fn patience(&self, class: usize, to: BackendId, aim_end: Nanos) -> Option<Nanos> {
+    pub(crate) fn patience(&self, class: usize, to: BackendId, target_deadline: Nanos) -> Option<Nanos> {
         let (backend, settings) = (self.backends.get(&to)?, &self.settings.classes[class]);
         let delay = self.expected_delay(backend, class);
         let wait = ((PATIENCE * delay) as Nanos).max(settings.latency_target / 2);
@@ -29,18 +29,19 @@
         let may = settings.idempotency != Idempotency::NonIdempotent
             && self.classes[class].samples > 50.0
             && self.retry_tokens >= 1.0;
-        (may && self.now + wait < aim_end).then_some(wait)
+        (may && self.now + wait < target_deadline).then_some(wait)
     }
 
     /// After an attempt that did not serve: again, where the gate and the retry budget let it.
     pub(crate) fn retry(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
-        if request.attempts.iter().any(Attempt::out) {
+        if request.attempts.iter().any(Attempt::is_in_flight) {
             return;
         }
         // What was turned away at once has cost little: its first retry is free.
         let unseen = request.attempts.len() == 1 && !request.attempts[0].may_have_run();
-        let again = (self.retry_tokens >= 1.0 || (unseen && self.many())) && self.now < request.aim_end;
+        let again =
+            (self.retry_tokens >= 1.0 || (unseen && self.many())) && self.now < request.target_deadline;
         match again.then(|| self.choose(id)).flatten() {
             Some(to) if self.send(id, to, actions) => self.retry_tokens = (self.retry_tokens - 1.0).max(0.0),
             _ => self.end(id, actions),
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -28,7 +28,7 @@
         let Some(mut decision) = self.slow_start(backend, request) else { return true };
         let grants = decision.branch.grants();
         if !grants {
-            let mut refused = self.refused.borrow_mut();
+            let mut refused = self.slow_start_denials.borrow_mut();
             let before = refused.get(&decision.backend).map_or(0, |last| last.denials);
             decision.denials = before.saturating_add(1);
             refused.insert(decision.backend, decision);
@@ -42,23 +42,27 @@
     /// as its own.
     pub(crate) fn measure_capacity(&mut self) {
         let (now, rules) = (self.now, &self.settings.rules);
-        let weight = 1.0 - decay(now.saturating_sub(self.measured_at), CAPACITY_SMOOTHING);
-        self.measured_at = now;
+        let weight = 1.0 - decay_factor(now.saturating_sub(self.capacity_measured_at), CAPACITY_SMOOTHING);
+        self.capacity_measured_at = now;
         let mut sums = vec![(0.0, 0.0, 0.0); self.zones.len()];
         let warm = |b: &&Backend| b.member.stage == Stage::InService && b.ramp(now, rules) >= 1.0;
-        for peer in self.backends.values().filter(warm) {
-            if let Some(sum) = sums.get_mut(peer.member.zone.0 as usize) {
+        for backend in self.backends.values().filter(warm) {
+            if let Some(sum) = sums.get_mut(backend.member.zone.0 as usize) {
                 // Where no report tells the used part, all of it counts: what is served can surely be done.
-                let told = peer.util.younger_than(now, UTIL_TRUST);
-                let used = if told { peer.util.value.clamp(LEAST_USED, 1.0) } else { 1.0 };
-                *sum = (sum.0 + peer.served.now(now), sum.1 + peer.size() * used, sum.2 + peer.size());
+                let told = backend.utilisation.is_fresher_than(now, UTIL_TRUST);
+                let used = if told { backend.utilisation.value.clamp(LEAST_USED, 1.0) } else { 1.0 };
+                *sum = (
+                    sum.0 + backend.served_work.per_second(now),
+                    sum.1 + backend.capacity() * used,
+                    sum.2 + backend.capacity(),
+                );
             }
         }
         for (zone, (served, used, size)) in self.zones.iter_mut().zip(sums) {
             // While none is warm there, what was measured before stands.
             if size > 0.0 {
-                zone.served += (served / size - zone.served) * weight;
-                zone.used += (used / size - zone.used) * weight;
+                zone.served_per_capacity += (served / size - zone.served_per_capacity) * weight;
+                zone.mean_utilisation += (used / size - zone.mean_utilisation) * weight;
             }
         }
     }
@@ -72,19 +76,20 @@
             return None;
         }
         let since = self.slow_start_since();
-        let spent: f64 = backend.cold_sends.iter().filter(|(at, _)| *at >= since).map(|send| send.1).sum();
-        let cost = self.mean_parts(request.cold_cost);
+        let spent: f64 =
+            backend.slow_start_sends.iter().filter(|(at, _)| *at >= since).map(|send| send.1).sum();
+        let cost = self.mean_parts(request.slow_start_cost);
         let zone = self.zones.get(backend.member.zone.0 as usize).copied().unwrap_or_default();
         let span = rules.overload_window as f64 / SECOND as f64;
         let own = !self.many() || backend.member.zone == self.settings.home_zone;
-        let estimate = zone.served / zone.used.max(LEAST_USED);
+        let estimate = zone.served_per_capacity / zone.mean_utilisation.max(LEAST_USED);
         // One that answers sooner than its ramp implies has room: what it was held to carry was too low.
         let most = if own { COLD_PROVEN } else { 1.0 };
         let proven = (1.0 / (ramp * backend.slowness(self.now, rules))).clamp(1.0, most);
         // Where nodes are many, only those with it in their subset send there, and these divide what all
         // measure.
         let reach = self.reach(backend.member.zone);
-        let measured = COLD_MEASURED * proven * estimate * backend.size() / reach;
+        let measured = COLD_MEASURED * proven * estimate * backend.capacity() / reach;
         // Whatever the others carry, it works on one request at a time. Every node that may send has its part
         // of that, and of the chance that the rule leaves beside it.
         let surely = rules.overload_factor * ramp * span * self.mean_parts(SECOND as f64);
@@ -92,7 +97,7 @@
         let least = COLD_UNMEASURED * surely * part;
         let chance = COLD_CHANCE * (surely.sqrt() + 1.0) * part;
         let budget = (rules.overload_factor * ramp * span * measured).max(least) + chance;
-        let branch = if self.many() && backend.lot > zone.subset {
+        let branch = if self.many() && backend.rendezvous_hash > zone.subset_max_hash {
             SlowStartBranch::OutsideSubset
         } else if spent + cost <= budget {
             SlowStartBranch::WithinBudget
@@ -128,7 +133,7 @@
     /// other's where nodes are few, as each of them sends to every zone. Where they are many, those of its
     /// own zone have one half, those of all other zones the other.
     pub(crate) fn part_of_all(&self, own: bool) -> f64 {
-        let (nodes, zone_nodes) = (f64::from(self.settings.node_count), self.crowd());
+        let (nodes, zone_nodes) = (f64::from(self.settings.node_count), self.nodes_per_zone());
         let other_nodes = nodes - zone_nodes;
         match self.many() && other_nodes >= 1.0 {
             false => 1.0 / nodes,
@@ -142,13 +147,14 @@
     /// one or so always tries, as no figure may come from elsewhere.
     pub(crate) fn is_trial(&self, backend: &Backend, budget: f64, own: bool) -> bool {
         let least = match own {
-            true if self.many() => 1.0 / self.crowd(),
+            true if self.many() => 1.0 / self.nodes_per_zone(),
             true => 1.0 / f64::from(self.settings.node_count),
             false => 0.0,
         };
         let epoch = self.now / self.settings.rules.overload_window.max(1);
-        let lot = mix(backend.lot ^ epoch.wrapping_mul(0x9e37_79b9_7f4a_7c15)) as f64 / u64::MAX as f64;
-        lot <= budget.max(least)
+        let draw = mix64(backend.rendezvous_hash ^ epoch.wrapping_mul(0x9e37_79b9_7f4a_7c15)) as f64
+            / u64::MAX as f64;
+        draw <= budget.max(least)
     }
 
     /// Work in requests of mean work: what the nodes learn of the time that a request takes moves with the
@@ -160,7 +166,7 @@
     /// Logs what slow start has kept back, one line a backend, and which backends have become warm.
     pub(crate) fn note_slow_start(&mut self, actions: &mut Vec<Action>) {
         let rules = &self.settings.rules;
-        let refused = std::mem::take(self.refused.get_mut());
+        let refused = std::mem::take(self.slow_start_denials.get_mut());
         actions.extend(refused.into_values().map(|decision| Action::Log(LogEvent::SlowStart(decision))));
         for backend in self.backends.values_mut() {
             let cold = backend.ramp(self.now, rules) < 1.0;
--- a/src/zone_choice.rs
+++ b/src/zone_choice.rs
@@ -27,26 +27,26 @@
     /// a zone reported full would look free in a moment's lull.
     pub(crate) fn utilisation(&self, zone: ZoneId) -> Option<f64> {
         let view = self.zones.get(zone.0 as usize).filter(|_| self.told_util())?;
-        let (mut used, mut size, own) = (0.0, 0.0, view.own);
-        let members = self.members.get(zone.0 as usize)?;
+        let (mut used, mut size, own) = (0.0, 0.0, view.in_flight);
+        let members = self.zone_backends.get(zone.0 as usize)?;
         for backend in members.iter().filter_map(|id| self.backends.get(id)) {
-            if self.usable(backend) && backend.util.younger_than(self.now, UTIL_TRUST) {
-                used += backend.util.value * backend.size();
-                size += backend.size();
+            if self.usable(backend) && backend.utilisation.is_fresher_than(self.now, UTIL_TRUST) {
+                used += backend.utilisation.value * backend.capacity();
+                size += backend.capacity();
             }
         }
         (size > 0.0).then(|| {
-            used / size * ((own + size) / (view.own_before(self.now, UTIL_SMOOTHING) + size)).max(1.0)
+            used / size * ((own + size) / (view.average_in_flight(self.now, UTIL_SMOOTHING) + size)).max(1.0)
         })
     }
 
     /// Scores the other zones. Those under the threshold come first, by score; an unseen zone qualifies
     /// lowest, so that one send learns its figures.
     pub(crate) fn refresh(&mut self, actions: &mut Vec<Action>) {
-        if self.now < self.refresh_at {
+        if self.now < self.next_refresh_at {
             return;
         }
-        self.refresh_at = self.now + REFRESH + (self.draw() * REFRESH as f64 * 0.1) as Nanos;
+        self.next_refresh_at = self.now + REFRESH + (self.random_unit() * REFRESH as f64 * 0.1) as Nanos;
         if let Some(note) = self.move_shares() {
             self.log(actions, note);
         }
@@ -55,10 +55,10 @@
         self.note_slow_start(actions);
         for zone in &mut self.zones {
             // Forgotten slowly, so that a link that has become slow shows.
-            zone.least_elapsed = zone.least_elapsed.map(|least| least * 1.002);
+            zone.min_latency = zone.min_latency.map(|least| least * 1.002);
         }
         let home = self.settings.home_zone;
-        let seen = |zone: &ZoneId| self.zones[zone.0 as usize].least_elapsed;
+        let seen = |zone: &ZoneId| self.zones[zone.0 as usize].min_latency;
         let others =
             (0..self.settings.zone_count).map(ZoneId).filter(|&zone| zone != home && !self.is_closed(zone));
         let farthest = others.clone().filter_map(|zone| seen(&zone)).fold(1.0, f64::max);
@@ -75,8 +75,8 @@
         if self.many() {
             // What came back tells the room of a zone that no report does. Nodes alike must not herd.
             for score in scored.iter_mut().filter(|score| score.1 == -10.0) {
-                let room = self.zones[score.2.0 as usize].window().min(2.0 * WINDOW_START);
-                score.1 += room * (1.0 - WINDOW_SPREAD * self.draw());
+                let room = self.zones[score.2.0 as usize].concurrency_limit().min(2.0 * WINDOW_START);
+                score.1 += room * (1.0 - WINDOW_SPREAD * self.random_unit());
             }
         }
         let far = |zone| !self.is_near(zone);
@@ -84,13 +84,16 @@
             let near = far(a.2).cmp(&far(b.2));
             b.0.cmp(&a.0).then(near).then(b.1.total_cmp(&a.1)).then(a.2.cmp(&b.2))
         });
-        self.qualified = scored.iter().filter(|score| score.0).count();
-        self.overflow = scored.into_iter().map(|score| score.2).collect();
-        if self.settings.weight_kind != WeightKind::Live && self.many() && self.now >= self.share_at {
-            self.share_at = self.now + SECOND;
+        self.qualified_zones = scored.iter().filter(|score| score.0).count();
+        self.overflow_zones = scored.into_iter().map(|score| score.2).collect();
+        if self.settings.weight_kind != WeightKind::Live
+            && self.many()
+            && self.now >= self.next_share_update_at
+        {
+            self.next_share_update_at = self.now + SECOND;
             for zone in 0..self.settings.zone_count {
                 let util = self.utilisation(ZoneId(zone)).unwrap_or(0.0).min(0.95);
-                self.zones[zone as usize].held = util / (1.0 - util);
+                self.zones[zone as usize].mean_requests_per_core = util / (1.0 - util);
             }
             self.share_out();
         }
@@ -99,7 +102,7 @@
         }
         let spilling = self.utilisation(home).is_some_and(|util| util >= THRESHOLD);
         if std::mem::replace(&mut self.zones[home.0 as usize].spilling, spilling) != spilling {
-            let best = self.overflow.first().copied().unwrap_or(home);
+            let best = self.overflow_zones.first().copied().unwrap_or(home);
             self.log(actions, LogEvent::Spillover { home, spilling, best });
         }
     }
@@ -108,33 +111,36 @@
     /// moves by what would even out the figures over the arrivals of about the time until the next ones.
     pub(crate) fn share_out(&mut self) {
         let home = self.settings.home_zone;
-        let asked = self.asked();
-        let count = self.zones[home.0 as usize].listed.max(1.0);
-        let coming = (asked * self.crowd() * 2.0 * self.list_period / count).max(LEAST_COMING);
+        let asked = self.arrival_rate();
+        let count = self.zones[home.0 as usize].backend_count.max(1.0);
+        let coming = (asked * self.nodes_per_zone() * 2.0 * self.list_interval_s / count).max(LEAST_COMING);
         let wanted = THRESHOLD / (1.0 - THRESHOLD);
-        let best = self.overflow.first().filter(|_| self.qualified > 0);
-        let best = best.map(|zone| self.zones[zone.0 as usize].held);
+        let best = self.overflow_zones.first().filter(|_| self.qualified_zones > 0);
+        let best = best.map(|zone| self.zones[zone.0 as usize].mean_requests_per_core);
         // Load at which the mean unit of worth would still be answered in time.
         let (mut worth, mut fitting) = (1e-9, 0.0);
         for (view, class) in self.classes.iter().zip(&self.settings.classes) {
-            let weight = view.asked.now(self.now) * class.value;
+            let weight = view.arrivals.per_second(self.now) * class.value;
             worth += weight;
-            fitting += weight * class.latency_target as f64 / view.base.max(1.0);
+            fitting += weight * class.latency_target as f64 / view.base_latency.max(1.0);
         }
         // Not under the threshold, where home serves all; one node's own times are few, hence the bounds.
         let room = (ROOM * fitting / worth - IDLE_LOAD).clamp(wanted, 1.5 * wanted);
         let view = &mut self.zones[home.0 as usize];
         // A crossing has its price: the other zone must hold less by one request a core at least.
-        let spilling = view.held - best.map_or(f64::INFINITY, |best| (best + 1.0).max(wanted));
-        view.spill = (view.spill + GAIN * spilling.max(-view.held) / coming).clamp(0.0, 1.0);
+        let spilling =
+            view.mean_requests_per_core - best.map_or(f64::INFINITY, |best| (best + 1.0).max(wanted));
+        view.spill_share =
+            (view.spill_share + GAIN * spilling.max(-view.mean_requests_per_core) / coming).clamp(0.0, 1.0);
         // Home spills first; only what no zone has room for is turned away.
-        let held = best.map_or(view.held, |best| 0.5 * (view.held + best));
-        view.taken = (view.taken + GAIN * (room - held) / coming).clamp(LEAST_TAKEN, 1.0);
+        let held =
+            best.map_or(view.mean_requests_per_core, |best| 0.5 * (view.mean_requests_per_core + best));
+        view.admitted_share = (view.admitted_share + GAIN * (room - held) / coming).clamp(LEAST_TAKEN, 1.0);
     }
 
     /// The one zone that takes what home does not.
     pub(crate) fn target(&self) -> Option<ZoneId> {
-        self.overflow.first().copied().filter(|_| self.qualified > 0)
+        self.overflow_zones.first().copied().filter(|_| self.qualified_zones > 0)
     }
 
     /// The backend for a request by the design, or none if it is better held.
@@ -144,7 +150,7 @@
         // request leaves by chance, and the share follows the excess.
         let at_home = self.may_go(home);
         let under = if self.many() {
-            self.draw() >= self.zones[home.0 as usize].spill
+            self.random_unit() >= self.zones[home.0 as usize].spill_share
         } else {
             self.utilisation(home).is_none_or(|util| util < THRESHOLD)
         };
@@ -165,11 +171,13 @@
         }
         // Exception: home can take nothing in time (full, ejected, cold or empty): any zone that can. Where a
         // subset is dead its zone may well be; past it, to all of home, only when no other zone is left.
-        let to = (0..self.overflow.len()).find_map(|at| {
-            let zone = self.overflow[at];
+        let to = (0..self.overflow_zones.len()).find_map(|at| {
+            let zone = self.overflow_zones[at];
             if self.may_go(zone) { self.pick(id, zone) } else { None }
         });
-        let own = |b: &Backend| self.zones.get(b.member.zone.0 as usize).is_some_and(|z| b.lot <= z.subset);
+        let own = |b: &Backend| {
+            self.zones.get(b.member.zone.0 as usize).is_some_and(|z| b.rendezvous_hash <= z.subset_max_hash)
+        };
         let lives = |b: &Backend| b.member.stage == Stage::InService && b.health == Health::Healthy;
         if to.is_some() || !at_home || self.backends.values().any(|b| own(b) && lives(b)) {
             return to;
--- a/src/zones.rs
+++ b/src/zones.rs
@@ -14,47 +14,52 @@
 const LEAVES: f64 = 0.25;
 const RETURNS: f64 = 0.05;
 /// Nodes differ by this part in their pace, so that they do not move in step.
-const SPREAD: f64 = 0.25;
+const RATE_JITTER: f64 = 0.25;
 
 impl Balancer {
     /// Takes the operator's orders in, in place of the last ones. A zone that none of them names is open.
     pub(crate) fn order(&mut self, orders: &[ZoneOverride]) {
-        let before = std::mem::take(&mut self.shares);
+        let before = std::mem::take(&mut self.traffic_shares);
         if orders.is_empty() && before.is_empty() {
             return;
         }
-        let fresh = self.classes.iter().all(|class| class.asked.at == 0);
+        let fresh = self.classes.iter().all(|class| class.arrivals.at == 0);
         for zone in 0..self.settings.zone_count {
             let named = orders.iter().rev().find(|order| order.zone == ZoneId(zone));
-            let (region, wanted) = named.map_or((0, 1.0), |order| (order.region, order.traffic_share));
+            let (region, target) = named.map_or((0, 1.0), |order| (order.region, order.traffic_share));
             // A node that has just started moves nothing: what others moved before stands.
-            let given =
-                before.get(zone as usize).map_or(if fresh { wanted } else { 1.0 }, |share| share.given);
-            let pace = 1.0 + SPREAD * (2.0 * self.draw() - 1.0);
-            let wanted = if wanted.is_finite() { wanted.clamp(0.0, 1.0) } else { 1.0 };
-            self.shares.push(Share { region, wanted, given: given.clamp(0.0, 1.0), pace });
+            let current =
+                before.get(zone as usize).map_or(if fresh { target } else { 1.0 }, |share| share.current);
+            let rate_factor = 1.0 + RATE_JITTER * (2.0 * self.random_unit() - 1.0);
+            let target = if target.is_finite() { target.clamp(0.0, 1.0) } else { 1.0 };
+            self.traffic_shares.push(TrafficShare {
+                region,
+                target,
+                current: current.clamp(0.0, 1.0),
+                rate_factor,
+            });
         }
-        self.shares_at = self.now;
+        self.traffic_shares_moved_at = self.now;
     }
 
     /// Moves each zone's share towards what was ordered. One that has got there is told.
     pub(crate) fn move_shares(&mut self) -> Option<LogEvent> {
-        let span = self.now.saturating_sub(std::mem::replace(&mut self.shares_at, self.now));
+        let span = self.now.saturating_sub(std::mem::replace(&mut self.traffic_shares_moved_at, self.now));
         let step = span as f64 / SECOND as f64;
         let mut there = None;
-        for (zone, share) in (0..).zip(&mut self.shares) {
-            if share.given == share.wanted {
+        for (zone, share) in (0..).zip(&mut self.traffic_shares) {
+            if share.current == share.target {
                 continue;
             }
-            share.given = if share.wanted < share.given {
-                (share.given - LEAVES * share.pace * step).max(share.wanted)
+            share.current = if share.target < share.current {
+                (share.current - LEAVES * share.rate_factor * step).max(share.target)
             } else {
-                (share.given + RETURNS * share.pace * step).min(share.wanted)
+                (share.current + RETURNS * share.rate_factor * step).min(share.target)
             };
-            if share.given == share.wanted {
+            if share.current == share.target {
                 there = Some(LogEvent::ShareReached {
                     zone: ZoneId(zone),
-                    percent: (100.0 * share.given) as u32,
+                    percent: (100.0 * share.current) as u32,
                 });
             }
         }
@@ -63,21 +68,21 @@
 
     /// Whether nothing may go to a zone.
     pub(crate) fn is_closed(&self, zone: ZoneId) -> bool {
-        self.shares.get(zone.0 as usize).is_some_and(|share| share.given <= 0.0)
+        self.traffic_shares.get(zone.0 as usize).is_some_and(|share| share.current <= 0.0)
     }
 
     /// Whether a zone lies in the node's own region.
     pub(crate) fn is_near(&self, zone: ZoneId) -> bool {
-        let region = |zone: ZoneId| self.shares.get(zone.0 as usize).map_or(0, |share| share.region);
+        let region = |zone: ZoneId| self.traffic_shares.get(zone.0 as usize).map_or(0, |share| share.region);
         region(zone) == region(self.settings.home_zone)
     }
 
     /// Whether one request may go to a zone: by chance, so that the zone's share of them does.
     pub(crate) fn may_go(&mut self, zone: ZoneId) -> bool {
-        match self.shares.get(zone.0 as usize).map(|share| share.given) {
+        match self.traffic_shares.get(zone.0 as usize).map(|share| share.current) {
             None => true,
-            Some(given) if given >= 1.0 => true,
-            Some(given) => given > 0.0 && self.draw() < given,
+            Some(current) if current >= 1.0 => true,
+            Some(current) => current > 0.0 && self.random_unit() < current,
         }
     }
 }
