--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -3,22 +3,22 @@
 use std::collections::BTreeSet;
 
 use crate::api::*;
-use crate::backend_view::UTIL_SMOOTHING;
-use crate::concurrency::WINDOW_START;
-use crate::crowding::SUBSET;
+use crate::backend_view::UTILISATION_TIME_CONSTANT;
+use crate::concurrency::INITIAL_LIMIT;
+use crate::crowding::SUBSET_SIZE;
 use crate::state::*;
 
 /// Least and most that one late figure moves a backend's share of the picks.
-const RESPONSE: (f64, f64) = (0.1, 2.0);
+const CORRECTION_BOUNDS: (f64, f64) = (0.1, 2.0);
 /// How far one list moves a backend's lasting share, and the bounds of that share.
 const BIAS_STEP: f64 = 0.15;
-const BIAS: (f64, f64) = (0.1, 4.0);
+const BIAS_BOUNDS: (f64, f64) = (0.1, 4.0);
 /// First wait after a failed call to discovery; doubled up to 2^3, jittered: with the call's own time, what a
 /// silent call missed comes within the 6 s after which it counts as told.
-const ASK_AGAIN: Nanos = 300 * MS;
+const WATCH_RETRY_BASE: Nanos = 300 * MS;
 
 impl Balancer {
-    pub(crate) fn fleet(&mut self, scope: ListScope, members: Vec<Member>) {
+    pub(crate) fn update_backends(&mut self, scope: ListScope, members: Vec<Member>) {
         if scope != ListScope::Cached {
             self.discovery_failures = 0;
         }
@@ -49,7 +49,7 @@
             backend.requests_per_core = (live && told > 0.0).then(|| (member.weight / told - 1.0).max(0.0));
         }
         // One that is told as gone and ready again in the same life has been sent what it was sent.
-        let since = self.slow_start_since();
+        let since = self.slow_start_window_start();
         let spent = |backend: &Backend| backend.slow_start_sends.back().is_some_and(|(at, _)| *at >= since);
         self.backends.retain(|_, b| b.member.stage != Stage::Gone || b.in_flight > 0 || spent(b));
         self.zone_backends.iter_mut().chain(&mut self.zone_subsets).for_each(Vec::clear);
@@ -66,7 +66,7 @@
             hashes.sort_unstable();
             view.backend_count = hashes.len() as f64;
             view.capacity = listed().map(Backend::capacity).sum();
-            view.subset_max_hash = hashes.get(SUBSET - 1).copied().unwrap_or(u64::MAX);
+            view.subset_max_hash = hashes.get(SUBSET_SIZE - 1).copied().unwrap_or(u64::MAX);
             self.zone_subsets[zone]
                 .extend(all().filter(|(_, b)| b.rendezvous_hash <= view.subset_max_hash).map(|(id, _)| id));
         }
@@ -76,17 +76,17 @@
         let mean = (self.zones.iter().map(|zone| zone.capacity).sum::<f64>() / zones).max(1e-9);
         for (zone, view) in self.zones.iter_mut().enumerate() {
             let users = if zone == self.settings.home_zone.0 as usize { 1.0 } else { zones };
-            view.initial_limit = WINDOW_START * view.capacity / mean / users;
+            view.initial_limit = INITIAL_LIMIT * view.capacity / mean / users;
         }
         if live && scope != ListScope::Cached {
-            self.interpret();
+            self.apply_live_weights();
         }
     }
 
     /// What a list's live weights say, which reach all nodes alike and late. A backend's share of the picks
     /// moves by what evens out the figures over the arrivals of about the time until the next ones show
     /// (load interpretation), no more, or all nodes would herd; what lasts is learned in small steps.
-    pub(crate) fn interpret(&mut self) {
+    pub(crate) fn apply_live_weights(&mut self) {
         let period =
             self.list_received_at.map_or(1.0, |at| self.now.saturating_sub(at) as f64 / SECOND as f64);
         self.list_interval_s += (period.min(3.0) - self.list_interval_s) * 0.2;
@@ -113,17 +113,19 @@
             // A slow machine should hold less for the same delay.
             let mean = ((total + count) / f64::max(size, 1e-9) * backend.capacity() - 1.0).max(0.2);
             let coming = (arrivals * backend.capacity() / f64::max(size, 1e-9)).max(1.0);
-            backend.weight_correction = (1.0 + (mean - held) / coming).clamp(RESPONSE.0, RESPONSE.1);
+            backend.weight_correction =
+                (1.0 + (mean - held) / coming).clamp(CORRECTION_BOUNDS.0, CORRECTION_BOUNDS.1);
             let step = BIAS_STEP * (mean - held) / (mean + 1.0).max(held);
-            backend.weight_bias = (backend.weight_bias * step.exp()).clamp(BIAS.0, BIAS.1);
-            backend.utilisation.update(self.now, held / (1.0 + held), UTIL_SMOOTHING, 0.05);
+            backend.weight_bias = (backend.weight_bias * step.exp()).clamp(BIAS_BOUNDS.0, BIAS_BOUNDS.1);
+            backend.utilisation.update(self.now, held / (1.0 + held), UTILISATION_TIME_CONSTANT, 0.05);
             self.utilisation_at = Some(self.now);
         }
-        self.share_out();
+        self.update_shares();
     }
 
-    pub(crate) fn ask_later(&mut self) {
-        let wait = (ASK_AGAIN << self.discovery_failures.min(3)) as f64 * (0.75 + 0.5 * self.random_unit());
+    pub(crate) fn schedule_watch_retry(&mut self) {
+        let wait =
+            (WATCH_RETRY_BASE << self.discovery_failures.min(3)) as f64 * (0.75 + 0.5 * self.random_unit());
         self.discovery_failures += 1;
         self.watch_retry_at = Some(self.now + wait as Nanos);
     }
--- a/src/request_ledger.rs
+++ b/src/request_ledger.rs
@@ -2,29 +2,31 @@
 //! is kept back here: every send passes [`Balancer::permits`].
 
 use crate::api::*;
-use crate::backend_view::{IDLE_LOAD, UTIL_SMOOTHING};
-use crate::concurrency::WINDOW_LESSER;
-use crate::retries::RETRY_SHARE;
+use crate::backend_view::{IDLE_LOAD, UTILISATION_TIME_CONSTANT};
+use crate::concurrency::LOW_PRIORITY_LIMIT_SHARE;
+use crate::retries::RETRY_TOKENS_PER_REQUEST;
 use crate::state::*;
 
 /// Weight of a request in its class's mean cost.
-const COST_SMOOTHING: f64 = 0.01;
+const COST_SAMPLE_WEIGHT: f64 = 0.01;
 
 impl Balancer {
     /// Counts own attempts in a zone, or their ends.
     pub(crate) fn add_in_flight(&mut self, zone: ZoneId, change: f64) {
         if let Some(view) = self.zones.get_mut(zone.0 as usize) {
-            view.add_in_flight(self.now, change, UTIL_SMOOTHING);
+            view.add_in_flight(self.now, change, UTILISATION_TIME_CONSTANT);
         }
     }
 
-    pub(crate) fn arrive(&mut self, arrival: Arrival, actions: &mut Vec<Action>) {
+    pub(crate) fn on_arrival(&mut self, arrival: Arrival, actions: &mut Vec<Action>) {
         let class = (arrival.class.0 as usize).min(self.classes.len() - 1);
-        let many = self.many();
+        let many = self.many_nodes();
         let view = &mut self.classes[class];
         let cost = arrival.cost_hint.map_or(view.base_latency * IDLE_LOAD, |hint| hint as f64).max(1.0);
-        view.mean_cost += (cost - view.mean_cost) * if view.mean_cost > 0.0 { COST_SMOOTHING } else { 1.0 };
-        self.mean_cost += (cost - self.mean_cost) * if self.mean_cost > 0.0 { COST_SMOOTHING } else { 1.0 };
+        view.mean_cost +=
+            (cost - view.mean_cost) * if view.mean_cost > 0.0 { COST_SAMPLE_WEIGHT } else { 1.0 };
+        self.mean_cost +=
+            (cost - self.mean_cost) * if self.mean_cost > 0.0 { COST_SAMPLE_WEIGHT } else { 1.0 };
         // A try well shorter than others ends with the client's deadline: that tells when its first try came,
         // and the aim counts from then. Arrivals jitter, so a little shorter is no sign. Where repeats
         // are marked the rest are first tries: repeats may get more time, which made those look late.
@@ -48,7 +50,7 @@
             phase: Phase::Open,
         };
         self.requests.insert(arrival.request, request);
-        self.retry_tokens = (self.retry_tokens + RETRY_SHARE).min(self.retries_saved());
+        self.retry_tokens = (self.retry_tokens + RETRY_TOKENS_PER_REQUEST).min(self.max_retry_tokens());
         self.refresh(actions);
         // Guards against jams that feed on their own repeats: what is past its aim, or more than the servers
         // can do in time, is turned away before it costs them anything.
@@ -59,19 +61,20 @@
             self.classes[class].arrivals.add(self.now, 1.0);
             self.tenant_rates.get_mut(tenant).into_iter().for_each(|asked| asked.add(self.now, 1.0));
         }
-        let over = self.over_share(tenant);
+        let over = self.over_quota_share(tenant);
         let admit = if over > 0.0 && self.random_unit() < over { self.over_quota_admit } else { admit };
         // What is worth little leaves room to the rest.
         let lesser = many && (late || (over > 0.0 && self.random_unit() < over));
-        let part = if lesser { WINDOW_LESSER } else { 1.0 };
+        let part = if lesser { LOW_PRIORITY_LIMIT_SHARE } else { 1.0 };
         let home = self.settings.home_zone;
-        let full =
-            !past && !self.roomy(home, part) && !self.target().is_some_and(|zone| self.roomy(zone, part));
+        let full = !past
+            && !self.has_concurrency(home, part)
+            && !self.overflow_target().is_some_and(|zone| self.has_concurrency(zone, part));
         if past || full || (admit < 1.0 && self.random_unit() >= admit) {
-            self.end(arrival.request, actions);
+            self.finish(arrival.request, actions);
             return;
         }
-        self.dispatch(arrival.request, actions);
+        self.send_or_queue(arrival.request, actions);
     }
 
     /// The contract gate: whether this request may be sent to this backend now. Every send passes it.
@@ -91,17 +94,21 @@
                     DedupGroup::Zone => first.zone == backend.member.zone,
                     DedupGroup::Cell => first.cell == backend.member.cell,
                 };
-                same && self.repeat_by(request, backend).is_some_and(|end| self.now < end)
+                same && self.resend_deadline(request, backend).is_some_and(|end| self.now < end)
             }
         };
         // A wanted margin to the drain grace: nothing is sent once told.
         let in_service = backend.member.stage == Stage::InService;
-        live && attempts_left && alone && repeat_dropped && in_service && self.cold_budget(backend, request)
+        live && attempts_left
+            && alone
+            && repeat_dropped
+            && in_service
+            && self.slow_start_permits(backend, request)
     }
 
     /// When a repeat has to be on its way, for its group still to know the first copy when it runs: a server
     /// takes it up after what it holds, within the time of an answer from there. `None` without a first copy.
-    pub(crate) fn repeat_by(&self, request: &Request, backend: &Backend) -> Option<Nanos> {
+    pub(crate) fn resend_deadline(&self, request: &Request, backend: &Backend) -> Option<Nanos> {
         let Idempotency::Keyed { window, .. } = self.settings.classes[request.class].idempotency else {
             return None;
         };
@@ -112,13 +119,14 @@
 
     /// The one place that sends. False where the gate forbids it.
     pub(crate) fn send(&mut self, id: RequestId, to: BackendId, actions: &mut Vec<Action>) -> bool {
-        let (crowd, gate) = (self.nodes_per_zone(), self.requests.get(&id).zip(self.backends.get(&to)));
+        let (nodes_per_zone, gate) =
+            (self.nodes_per_zone(), self.requests.get(&id).zip(self.backends.get(&to)));
         if !gate.is_some_and(|(request, backend)| self.permits(request, backend)) {
             return false;
         }
-        let send_by = gate.and_then(|(request, backend)| self.repeat_by(request, backend));
-        let since = self.slow_start_since();
-        let slow_start = gate.and_then(|(request, backend)| self.slow_start(backend, request));
+        let send_by = gate.and_then(|(request, backend)| self.resend_deadline(request, backend));
+        let since = self.slow_start_window_start();
+        let slow_start = gate.and_then(|(request, backend)| self.slow_start_decision(backend, request));
         let (Some(request), Some(backend)) = (self.requests.get_mut(&id), self.backends.get_mut(&to)) else {
             return false;
         };
@@ -128,7 +136,7 @@
             zone: backend.member.zone,
             cell: backend.member.cell,
             sent_at: self.now,
-            load: backend.load(crowd),
+            load: backend.load(nodes_per_zone),
             outcome: None,
         });
         backend.in_flight += 1;
@@ -145,18 +153,18 @@
         // Past its aim an answer may be worth nothing: then a server need not work on it. With few nodes what
         // is admitted by own figures hardly waits that long, and the repeats cost more.
         let late_value_share = self.settings.classes[class].late_value_share;
-        let drop_late = self.many()
+        let drop_late = self.many_nodes()
             && (late_value_share == 0.0
                 || (late_value_share <= 0.5 && self.classes[class].admit_probability < 1.0));
         let late = (drop_late && target_deadline > self.now).then(|| target_deadline - self.now);
-        let timeout = late.or_else(|| self.patience(class, to, target_deadline));
+        let timeout = late.or_else(|| self.attempt_timeout(class, to, target_deadline));
         actions.push(Action::Send { request: id, backend: to, timeout, send_by });
         self.add_in_flight(zone, 1.0);
         true
     }
 
     /// The one place that ends requests: refused where trying again does no harm, failed otherwise.
-    pub(crate) fn end(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+    pub(crate) fn finish(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let ran = request.attempts.iter().any(Attempt::may_have_run);
         let class = &self.settings.classes[request.class];
@@ -172,18 +180,18 @@
         } else {
             Action::Fail { request: id }
         });
-        self.cancel_rest(id, actions);
-        self.forget(id);
+        self.cancel_in_flight(id, actions);
+        self.remove_request(id);
     }
 
-    pub(crate) fn cancel_rest(&self, id: RequestId, actions: &mut Vec<Action>) {
+    pub(crate) fn cancel_in_flight(&self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|_| self.settings.limits.cancel) else { return };
         let out = request.attempts.iter().zip(0..).filter(|(attempt, _)| attempt.is_in_flight());
         actions.extend(out.map(|(_, attempt)| Action::Cancel { request: id, attempt }));
     }
 
     /// Marks a request as ended; it is dropped once its last attempt has settled.
-    pub(crate) fn forget(&mut self, id: RequestId) {
+    pub(crate) fn remove_request(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.phase = Phase::Ended;
         if !request.attempts.iter().any(Attempt::is_in_flight) {
@@ -191,37 +199,40 @@
         }
     }
 
-    pub(crate) fn settle(&mut self, settled: AttemptResult, actions: &mut Vec<Action>) {
-        let Some(request) = self.requests.get_mut(&settled.request) else { return };
+    pub(crate) fn on_attempt_ended(&mut self, result: AttemptResult, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get_mut(&result.request) else { return };
         let (class, cost, target_deadline) = (request.class, request.cost, request.target_deadline);
-        let Some(attempt) = request.attempts.get_mut(settled.attempt as usize).filter(|a| a.is_in_flight())
+        let Some(attempt) = request.attempts.get_mut(result.attempt as usize).filter(|a| a.is_in_flight())
         else {
             return;
         };
-        attempt.outcome = Some(settled.outcome);
+        attempt.outcome = Some(result.outcome);
         let (to, load, zone, sent) = (attempt.backend, attempt.load, attempt.zone, attempt.sent_at);
         let open = request.phase != Phase::Ended;
         self.add_in_flight(zone, -1.0);
-        self.learn(to, class, self.mean_parts(cost), load, &settled);
-        self.judge(to, &settled, actions);
-        self.report(to, settled.report);
-        self.resize(
+        self.record_result(to, class, self.in_mean_requests(cost), load, &result);
+        self.update_health(to, &result, actions);
+        self.record_load_report(to, result.report);
+        self.adjust_concurrency_limit(
             zone,
-            &settled,
+            &result,
             class,
             target_deadline < sent + self.settings.classes[class].latency_target / 2,
         );
-        if settled.request_ended || !open {
-            if open && settled.outcome == Outcome::Served && (self.now <= target_deadline || !self.many()) {
+        if result.request_ended || !open {
+            if open
+                && result.outcome == Outcome::Served
+                && (self.now <= target_deadline || !self.many_nodes())
+            {
                 self.classes[class].served.add(self.now, 1.0);
             }
             if open {
-                self.cancel_rest(settled.request, actions);
+                self.cancel_in_flight(result.request, actions);
             }
-            self.forget(settled.request);
+            self.remove_request(result.request);
         } else {
-            self.retry(settled.request, actions);
+            self.retry(result.request, actions);
         }
-        self.pump(actions);
+        self.drain_queue(actions);
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -68,8 +68,8 @@
     z ^ (z >> 31)
 }
 
-pub(crate) fn decay_factor(span: Nanos, time_constant: Nanos) -> f64 {
-    (-(span as f64) / time_constant as f64).exp()
+pub(crate) fn decay_factor(elapsed: Nanos, time_constant: Nanos) -> f64 {
+    (-(elapsed as f64) / time_constant as f64).exp()
 }
 
 /// One attempt of a request.
@@ -226,15 +226,15 @@
 impl Zone {
     /// The own load as smoothed up to now.
     pub(crate) fn average_in_flight(&self, now: Nanos, time_constant: Nanos) -> f64 {
-        let mut load = self.in_flight_ewma;
-        load.update(now, self.in_flight, time_constant, 0.0);
-        load.value
+        let mut average = self.in_flight_ewma;
+        average.update(now, self.in_flight, time_constant, 0.0);
+        average.value
     }
 
     /// Counts own sends or their ends; the smoothed figure is fed with what was out until now.
     pub(crate) fn add_in_flight(&mut self, now: Nanos, change: f64, time_constant: Nanos) {
-        let held = if self.in_flight_ewma.at.is_none() { change } else { self.in_flight };
-        self.in_flight_ewma.update(now, held, time_constant, 0.0);
+        let average = if self.in_flight_ewma.at.is_none() { change } else { self.in_flight };
+        self.in_flight_ewma.update(now, average, time_constant, 0.0);
         self.in_flight = (self.in_flight + change).max(0.0);
     }
 }
--- a/src/zones.rs
+++ b/src/zones.rs
@@ -11,14 +11,14 @@
 /// Part of a zone's requests that leave it in a second, and that return: leaving takes 4 s, in which the
 /// others' figures (reports some 100 ms old, scores each 100 ms) follow; a return 20 s, in which cold servers
 /// warm up.
-const LEAVES: f64 = 0.25;
-const RETURNS: f64 = 0.05;
+const DRAIN_RATE: f64 = 0.25;
+const RETURN_RATE: f64 = 0.05;
 /// Nodes differ by this part in their pace, so that they do not move in step.
 const RATE_JITTER: f64 = 0.25;
 
 impl Balancer {
     /// Takes the operator's orders in, in place of the last ones. A zone that none of them names is open.
-    pub(crate) fn order(&mut self, orders: &[ZoneOverride]) {
+    pub(crate) fn apply_zone_overrides(&mut self, orders: &[ZoneOverride]) {
         let before = std::mem::take(&mut self.traffic_shares);
         if orders.is_empty() && before.is_empty() {
             return;
@@ -43,7 +43,7 @@
     }
 
     /// Moves each zone's share towards what was ordered. One that has got there is told.
-    pub(crate) fn move_shares(&mut self) -> Option<LogEvent> {
+    pub(crate) fn advance_traffic_shares(&mut self) -> Option<LogEvent> {
         let span = self.now.saturating_sub(std::mem::replace(&mut self.traffic_shares_moved_at, self.now));
         let step = span as f64 / SECOND as f64;
         let mut there = None;
@@ -52,9 +52,9 @@
                 continue;
             }
             share.current = if share.target < share.current {
-                (share.current - LEAVES * share.rate_factor * step).max(share.target)
+                (share.current - DRAIN_RATE * share.rate_factor * step).max(share.target)
             } else {
-                (share.current + RETURNS * share.rate_factor * step).min(share.target)
+                (share.current + RETURN_RATE * share.rate_factor * step).min(share.target)
             };
             if share.current == share.target {
                 there = Some(LogEvent::ShareReached {
@@ -67,18 +67,18 @@
     }
 
     /// Whether nothing may go to a zone.
-    pub(crate) fn is_closed(&self, zone: ZoneId) -> bool {
+    pub(crate) fn is_zone_closed(&self, zone: ZoneId) -> bool {
         self.traffic_shares.get(zone.0 as usize).is_some_and(|share| share.current <= 0.0)
     }
 
     /// Whether a zone lies in the node's own region.
-    pub(crate) fn is_near(&self, zone: ZoneId) -> bool {
+    pub(crate) fn is_in_home_region(&self, zone: ZoneId) -> bool {
         let region = |zone: ZoneId| self.traffic_shares.get(zone.0 as usize).map_or(0, |share| share.region);
         region(zone) == region(self.settings.home_zone)
     }
 
     /// Whether one request may go to a zone: by chance, so that the zone's share of them does.
-    pub(crate) fn may_go(&mut self, zone: ZoneId) -> bool {
+    pub(crate) fn draw_zone_share(&mut self, zone: ZoneId) -> bool {
         match self.traffic_shares.get(zone.0 as usize).map(|share| share.current) {
             None => true,
             Some(current) if current >= 1.0 => true,
