--- a/src/choice.rs
+++ b/src/choice.rs
@@ -1,14 +1,15 @@
-//! The turn of events: what each event sets off. The interface (settings, events, actions, ids) is in
-//! `api.rs`, what a node keeps in `state.rs`; each decision has a module of its own.
+//! Event dispatch: routes each event to the module that handles it. The interface is in `api.rs`, the node's
+//! state in `state.rs`.
 
 use crate::api::*;
 use crate::state::*;
 
-/// Housekeeping period: fine enough against aims of tens of milliseconds, coarse enough to cost no CPU.
+/// Interval of housekeeping while requests are queued.
 const HOUSEKEEPING_INTERVAL: Nanos = 10 * MS;
 
 impl Balancer {
-    /// Takes one event in and adds what is to be done. A clock that steps back stands still.
+    /// Handles one event and appends the resulting actions. Time never runs backwards: a `now` earlier than
+    /// the last one counts as the last one.
     pub fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         match event {
@@ -20,9 +21,9 @@
             }
             Event::BackendList { scope, members } => self.update_backends(scope, members),
             Event::DiscoveryFailed => self.schedule_watch_retry(),
-            Event::ZoneOverrides(orders) => self.apply_zone_overrides(&orders),
+            Event::ZoneOverrides(overrides) => self.apply_zone_overrides(&overrides),
             Event::Request(arrival) => self.on_arrival(arrival, actions),
-            Event::AttemptEnded(settlement) => self.on_attempt_ended(settlement, actions),
+            Event::AttemptEnded(result) => self.on_attempt_ended(result, actions),
             Event::ResponseStarted { request } => {
                 let open = self.requests.get_mut(&request).filter(|r| r.phase != Phase::Ended);
                 open.into_iter().for_each(|r| r.phase = Phase::Streaming);
@@ -39,11 +40,11 @@
         HOUSEKEEPING_INTERVAL.min(self.settings.rules.answer_slack / 2).max(self.settings.quantum).max(MS)
     }
 
-    /// Asks for the next wake-up only while something waits for one: at full size a timer that always ran
-    /// cost more than all requests together (it cut full-size days off as too slow).
+    /// Arms the timer only while a queued request or a discovery retry needs it; with many nodes, a permanent
+    /// timer on each would cost more CPU than the requests.
     pub(crate) fn arm_timer(&mut self, actions: &mut Vec<Action>) {
-        let held = (!self.queue.is_empty()).then(|| self.now + self.housekeeping_interval());
-        let Some(next) = held.into_iter().chain(self.watch_retry_at.map(|at| at.max(self.now + MS))).min()
+        let queued = (!self.queue.is_empty()).then(|| self.now + self.housekeeping_interval());
+        let Some(next) = queued.into_iter().chain(self.watch_retry_at.map(|at| at.max(self.now + MS))).min()
         else {
             return;
         };
@@ -63,11 +64,11 @@
         self.expire_queue(actions);
     }
 
-    /// Log lines are for people: at most one a second.
-    pub(crate) fn log(&mut self, actions: &mut Vec<Action>, note: LogEvent) {
+    /// Logs an event, at most one a second.
+    pub(crate) fn log(&mut self, actions: &mut Vec<Action>, event: LogEvent) {
         if self.now >= self.next_log_at {
             self.next_log_at = self.now + SECOND;
-            actions.push(Action::Log(note));
+            actions.push(Action::Log(event));
         }
     }
 }
--- a/src/concurrency.rs
+++ b/src/concurrency.rs
@@ -1,30 +1,35 @@
-//! The concurrency limit on a zone: how many own attempts may be out there, moved by what answers took.
+//! Adaptive concurrency limit of each zone: how many attempts this node may have in flight there. Adapted to
+//! response times; in force with many nodes only.
 
 use crate::api::*;
 use crate::state::*;
 
-/// Part of the aim that answers should take on the mean: spread evenly about it, as delays are, few pass the
-/// aim. And what an answer's difference from it, as a part of the aim, moves the zone's window by.
+/// Mean response time to hold, as a share of the latency target; low enough for few responses to miss the
+/// target.
 const TARGET_LATENCY_SHARE: f64 = 0.35;
+/// Change of the limit for each result, times its distance from [`TARGET_LATENCY_SHARE`].
 const LIMIT_STEP: f64 = 0.5;
-/// A window at the start where zones are alike, the least, and the time that paces one below 1.
+/// Initial limit of a zone of mean capacity.
 pub(crate) const INITIAL_LIMIT: f64 = 3.0;
 pub(crate) const MIN_LIMIT: f64 = 0.15;
+/// Time between attempts at a limit of 1; lower limits below 1 stretch it in proportion.
 pub(crate) const PACING_INTERVAL_NS: f64 = 0.3 * SECOND as f64;
-/// Part of a window open to what is worth little, and how far chance lowers one where zones are compared.
+/// Share of the limit that is open to requests of low value.
 pub(crate) const LOW_PRIORITY_LIMIT_SHARE: f64 = 0.5;
+/// Largest random reduction of a limit where zones are compared, so that nodes do not herd.
 pub(crate) const LIMIT_JITTER: f64 = 0.3;
 
 impl Zone {
-    /// Most own attempts out there.
+    /// Most attempts that this node may have in flight there.
     pub(crate) fn concurrency_limit(&self) -> f64 {
         self.concurrency_limit.unwrap_or(self.initial_limit).max(MIN_LIMIT)
     }
 }
 
 impl Balancer {
-    /// Moves a zone's window by what an attempt there took, or by its having got nothing. Bounds the attempts
-    /// out, not the share of the arrivals: these grow as the refused come again, and the servers do not.
+    /// Adapts a zone's limit to the response time of an attempt, or to its failure. Limits attempts in flight
+    /// and not a share of the arrivals, as retries of rejected requests increase the arrivals but not the
+    /// capacity. `short` marks an attempt that had little time left when it was sent.
     pub(crate) fn adjust_concurrency_limit(
         &mut self,
         zone: ZoneId,
@@ -32,28 +37,29 @@
         class: usize,
         short: bool,
     ) {
-        let part = match result.outcome {
+        let latency_share = match result.outcome {
             Outcome::Served => result.elapsed as f64 / self.settings.classes[class].latency_target as f64,
-            // It goes by what the server took: a client's further try may have little time left.
+            // The timeout of a late retry says nothing about the servers.
             Outcome::TimedOut if !short => 1.5,
             Outcome::Full => 1.5,
             _ => return,
         };
-        let Some(view) = self.zones.get_mut(zone.0 as usize) else { return };
-        let (window, step) = (view.concurrency_limit(), LIMIT_STEP * (TARGET_LATENCY_SHARE - part.min(1.5)));
-        // One that is hardly used says nothing of what would come of using it. Yet a node's few requests come
-        // by chance, some at once and then none: that takes several times as much as is out on the mean.
-        let step = if 4.0 * (view.in_flight + 1.0) < window { step.min(0.0) } else { step };
-        // So few sends prove little each: the next window is the double, up to one at a time.
-        let step = if step > 0.0 && window < 1.0 { window } else { step };
-        view.concurrency_limit = Some((window + step).max(MIN_LIMIT));
+        let Some(state) = self.zones.get_mut(zone.0 as usize) else { return };
+        let (limit, step) =
+            (state.concurrency_limit(), LIMIT_STEP * (TARGET_LATENCY_SHARE - latency_share.min(1.5)));
+        // A limit that is hardly used is not raised further. Arrivals come in bursts, so it may be several
+        // times the number in flight.
+        let step = if 4.0 * (state.in_flight + 1.0) < limit { step.min(0.0) } else { step };
+        // Below 1 there are few results to go by, so each good one doubles the limit.
+        let step = if step > 0.0 && limit < 1.0 { limit } else { step };
+        state.concurrency_limit = Some((limit + step).max(MIN_LIMIT));
     }
 
-    /// Whether a zone's window, or this part of it, has room.
-    pub(crate) fn has_concurrency(&self, zone: ZoneId, part: f64) -> bool {
-        let Some(view) = self.zones.get(zone.0 as usize).filter(|_| self.many_nodes()) else { return true };
-        let window = part * view.concurrency_limit();
-        let rested = self.now.saturating_sub(view.last_sent_at) as f64 * window >= PACING_INTERVAL_NS;
-        view.in_flight < window.max(1.0) && (window >= 1.0 || rested)
+    /// Whether this share of a zone's limit allows another attempt.
+    pub(crate) fn has_concurrency(&self, zone: ZoneId, share: f64) -> bool {
+        let Some(state) = self.zones.get(zone.0 as usize).filter(|_| self.many_nodes()) else { return true };
+        let limit = share * state.concurrency_limit();
+        let paced = self.now.saturating_sub(state.last_sent_at) as f64 * limit >= PACING_INTERVAL_NS;
+        state.in_flight < limit.max(1.0) && (limit >= 1.0 || paced)
     }
 }
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -1,29 +1,29 @@
-//! Slow start: what a node may send to a backend that has lately started.
+//! Slow start: limits what a node sends to a recently started (cold) backend.
 //!
-//! A cold backend falls when it gets more from *all* nodes than a multiple of its capacity in a span. Nodes
-//! share nothing, so each has a part of the budget; the parts add up to the whole by the way they are cut.
+//! A cold backend is overloaded when all nodes together send it more than a multiple of its current capacity
+//! within the overload window. Nodes do not communicate, so each one takes a fixed share of the budget, and
+//! the shares are chosen to sum to at most the whole.
 
 use crate::api::*;
 use crate::backend_view::UTILISATION_MAX_AGE;
 use crate::state::*;
 
-/// Part of what a cold backend takes that all nodes together use by what they have measured, and what
-/// multiplies it at most once it has proved itself: together the whole.
+/// Share of a cold backend's budget that all nodes together use based on measured capacity, and the largest
+/// multiple of it for a backend that answers faster than its ramp implies. Their product is about 1.
 const MEASURED_BUDGET_SHARE: f64 = 0.45;
 const MAX_SPEED_FACTOR: f64 = 2.2;
-/// The part of it that they use unmeasured, and what they use of the `root + 1` of chance that the rule
-/// leaves twice beside it: the rest is for what comes late and for draws that fall together.
+/// Share of the budget that all nodes together use without measurements, and how much of `sqrt(budget) + 1`
+/// they add as a variance allowance. The rule tolerates twice that root; the rest absorbs late arrivals and
+/// trials that coincide.
 const UNMEASURED_BUDGET_SHARE: f64 = 0.2;
 const VARIANCE_SHARE: f64 = 0.5;
-/// Time constant of the measured capacity: some reports long, and short against a fleet that changes its
-/// shape.
+/// Time constant of the measured capacity.
 const CAPACITY_TIME_CONSTANT: Nanos = 3 * SECOND;
-/// A backend that is used less counts as used so much: the less it is, the more an error of the report
-/// weighs.
+/// Lower bound on utilisation in the capacity estimate; dividing by less would amplify errors in reports.
 const MIN_UTILISATION: f64 = 0.5;
 
 impl Balancer {
-    /// Whether slow start lets the attempt through. One that it keeps back is counted for the log.
+    /// Whether slow start permits the attempt. A denial is counted for the log.
     pub(crate) fn slow_start_permits(&self, backend: &Backend, request: &Request) -> bool {
         let Some(mut decision) = self.slow_start_decision(backend, request) else { return true };
         let allowed = decision.branch.grants();
@@ -36,10 +36,10 @@
         allowed
     }
 
-    /// Measures what this node is served by each unit of warm capacity, by zone. Only sums of what was
-    /// counted go in, smoothed alike up and down: so the figures of all nodes add up to what the servers do,
-    /// whoever counts when. A node's best moment would not: clients move, and each node would remember them
-    /// as its own.
+    /// Measures, by zone, the throughput that this node gets from each unit of warm capacity.
+    ///
+    /// Uses plain sums, smoothed equally upwards and downwards, so that the estimates of all nodes add up to
+    /// the actual throughput. Peak values would not: clients move between nodes and would be counted twice.
     pub(crate) fn measure_capacity(&mut self) {
         let (now, rules) = (self.now, &self.settings.rules);
         let weight =
@@ -49,7 +49,7 @@
         let warm = |b: &&Backend| b.member.stage == Stage::InService && b.ramp(now, rules) >= 1.0;
         for backend in self.backends.values().filter(warm) {
             if let Some(total) = totals.get_mut(backend.member.zone.0 as usize) {
-                // Where no report tells the used part, all of it counts: what is served can surely be done.
+                // Without a fresh report, assume full utilisation: what is served is a safe lower bound.
                 let reported = backend.utilisation.is_fresher_than(now, UTILISATION_MAX_AGE);
                 let utilised =
                     if reported { backend.utilisation.value.clamp(MIN_UTILISATION, 1.0) } else { 1.0 };
@@ -61,7 +61,7 @@
             }
         }
         for (zone, (served, utilised, capacity)) in self.zones.iter_mut().zip(totals) {
-            // While none is warm there, what was measured before stands.
+            // Keeps the previous estimate while the zone has no warm backend.
             if capacity > 0.0 {
                 zone.served_per_capacity += (served / capacity - zone.served_per_capacity) * weight;
                 zone.mean_utilisation += (utilised / capacity - zone.mean_utilisation) * weight;
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Whether this node's part of a cold backend's budget has room; none for a warm one. The parts of all
-    /// nodes, of every zone, add up to what the backend surely takes.
+    /// Decides on an attempt at a cold backend by this node's share of the backend's budget; `None` for a
+    /// warm backend. The shares of all nodes in all zones add up to no more than the backend can take.
     pub(crate) fn slow_start_decision(
         &self,
         backend: &Backend,
@@ -89,16 +89,16 @@
         let window_s = rules.overload_window as f64 / SECOND as f64;
         let local = !self.many_nodes() || backend.member.zone == self.settings.home_zone;
         let capacity_estimate = zone.served_per_capacity / zone.mean_utilisation.max(MIN_UTILISATION);
-        // One that answers sooner than its ramp implies has room: what it was held to carry was too low.
+        // A backend that answers faster than its ramp implies has more capacity than assumed.
         let max_speed_factor = if local { MAX_SPEED_FACTOR } else { 1.0 };
         let speed_factor = (1.0 / (ramp * backend.slowness(self.now, rules))).clamp(1.0, max_speed_factor);
-        // Where nodes are many, only those with it in their subset send there, and these divide what all
-        // measure.
+        // With many nodes, only those that have the backend in their subset send to it, so they divide the
+        // measured budget of all.
         let subset_share = self.subset_share(backend.member.zone);
         let measured_rate =
             MEASURED_BUDGET_SHARE * speed_factor * capacity_estimate * backend.capacity() / subset_share;
-        // Whatever the others carry, it works on one request at a time. Every node that may send has its part
-        // of that, and of the chance that the rule leaves beside it.
+        // The minimum is the work of one request at a time, shared by all nodes that may send, as is the
+        // variance allowance of the rule.
         let guaranteed = rules.overload_factor * ramp * window_s * self.in_mean_requests(SECOND as f64);
         let node_share = self.node_budget_share(local) / subset_share;
         let min_budget = UNMEASURED_BUDGET_SHARE * guaranteed * node_share;
@@ -132,14 +132,14 @@
         })
     }
 
-    /// From when on what was sent to a cold backend counts.
+    /// Start of the current overload window; earlier sends to a cold backend no longer count.
     pub(crate) fn slow_start_window_start(&self) -> Nanos {
         self.now.saturating_sub(self.settings.rules.overload_window + self.settings.quantum)
     }
 
-    /// This node's part of what all nodes may send to a backend whatever they have measured: as much as any
-    /// other's where nodes are few, as each of them sends to every zone. Where they are many, those of its
-    /// own zone have one half, those of all other zones the other.
+    /// This node's share of the unmeasured budget of a backend. With few nodes all shares are equal, as each
+    /// node sends to every zone. With many, the nodes of the backend's zone share one half and all other
+    /// nodes the other half.
     pub(crate) fn node_budget_share(&self, local: bool) -> f64 {
         let (nodes, local_nodes) = (f64::from(self.settings.node_count), self.nodes_per_zone());
         let remote_nodes = nodes - local_nodes;
@@ -150,11 +150,11 @@
         }
     }
 
-    /// Whether chance lets this node send one in this span, on a budget of this part of a request: all nodes
-    /// would exceed theirs together with their first sends. Of a zone's nodes, or of all where they are few,
-    /// one or so always tries, as no figure may come from elsewhere.
+    /// Whether this node is drawn to send one trial request in this overload window, with a probability of
+    /// `budget`, given in requests. If every node sent one, they would exceed the budget together. On average
+    /// at least one local node tries, since otherwise nothing would be learned about the backend.
     pub(crate) fn is_trial(&self, backend: &Backend, budget: f64, local: bool) -> bool {
-        let min_budget = match local {
+        let min_probability = match local {
             true if self.many_nodes() => 1.0 / self.nodes_per_zone(),
             true => 1.0 / f64::from(self.settings.node_count),
             false => 0.0,
@@ -162,16 +162,16 @@
         let epoch = self.now / self.settings.rules.overload_window.max(1);
         let draw = mix64(backend.rendezvous_hash ^ epoch.wrapping_mul(0x9e37_79b9_7f4a_7c15)) as f64
             / u64::MAX as f64;
-        draw <= budget.max(min_budget)
+        draw <= budget.max(min_probability)
     }
 
-    /// Work in requests of mean work: what the nodes learn of the time that a request takes moves with the
-    /// load, and would stretch what was measured before.
+    /// Converts work to a number of requests of mean work. Measured service times are no unit of work, as
+    /// they grow with load.
     pub(crate) fn in_mean_requests(&self, work: f64) -> f64 {
         work / self.mean_cost.max(1.0)
     }
 
-    /// Logs what slow start has kept back, one line a backend, and which backends have become warm.
+    /// Logs the latest denial for each cold backend, and the backends that have become warm.
     pub(crate) fn log_slow_start(&mut self, actions: &mut Vec<Action>) {
         let rules = &self.settings.rules;
         let denied = std::mem::take(self.slow_start_denials.get_mut());
