--- a/src/api.rs
+++ b/src/api.rs
@@ -1,26 +1,27 @@
-//! The interface of the decision module: what it is told at start, what it hears, what it says.
+//! The interface of the decision core: its settings, the events that it handles and the actions that it
+//! returns.
 //!
 //! Ids are integers, so no name can influence a decision. Times are nanoseconds on the embedder's clock.
 
 use std::fmt;
 
-/// A time or a span, in nanoseconds.
+/// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
 
-/// A backend, numbered by the embedder; the number stays the same when its process restarts.
+/// A backend, numbered by the embedder. Its number survives a restart of its process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BackendId(pub u32);
-/// A zone: its position in the settings' zones.
+/// A zone: its index among the zones of the settings.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub u32);
-/// A request class: its position in [`Settings::classes`].
+/// A request class: its index in [`Settings::classes`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClassId(pub u32);
-/// A request of this node; never used twice in a node's life.
+/// A request of this node; an id is never reused while the node runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// Which backends drop a repeat of a keyed request.
+/// Which backends share the keys that they have seen, and so deduplicate retries of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupGroup {
     /// Every backend.
@@ -31,34 +32,35 @@
     Cell,
 }
 
-/// Whether a request of a class may take effect twice.
+/// Whether requests of a class may be retried after an attempt that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Safe to repeat.
+    /// Safe to run any number of times.
     Idempotent,
-    /// Repeats are dropped inside `group` for `window` from the first send that may have run.
+    /// Requests carry an idempotency key: backends of the `group` drop duplicates for `window`, counted from
+    /// the first attempt that may have run.
     Keyed {
-        /// The backends that share which keys they have seen.
+        /// The backends that deduplicate together.
         group: DedupGroup,
-        /// How long they remember.
+        /// How long they remember a key.
         window: Nanos,
     },
-    /// Must not run twice.
+    /// Must not run more than once.
     NonIdempotent,
 }
 
-/// What the settings say of one request class.
+/// Settings of one request class.
 #[derive(Clone, Copy, Debug)]
 pub struct ClassSettings {
-    /// An answer within this time earns the full worth.
+    /// A response within this time earns the full value.
     pub latency_target: Nanos,
-    /// The client's time over all its tries.
+    /// The time that a client allows for all its tries together.
     pub deadline: Nanos,
-    /// Worth of one request.
+    /// Value of one request.
     pub value: f64,
-    /// Share of the worth still earned after the aim.
+    /// Share of the value that a response after the latency target still earns.
     pub late_value_share: f64,
-    /// Whether it may be repeated.
+    /// Whether requests may be retried.
     pub idempotency: Idempotency,
 }
 
@@ -74,59 +76,60 @@
     }
 }
 
-/// How the list of backends reaches the node.
+/// How the node obtains the list of backends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Changes come unasked.
+    /// Discovery sends changes by itself.
     Push,
-    /// Only after [`Action::Watch`] or [`Action::Fetch`].
+    /// Discovery answers [`Action::Watch`] and [`Action::Fetch`] only.
     OnRequest,
 }
 
-/// What [`Member::weight`] holds.
+/// Meaning of [`Member::weight`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WeightKind {
-    /// The registered size, give or take, or nothing.
+    /// The registered capacity, approximate or absent.
     Static,
-    /// The size divided by 1 + requests held for each core, some time ago.
+    /// The capacity divided by 1 + requests held per core, with some delay.
     Live,
 }
 
-/// Limits that the site sets.
+/// Limits that the operator sets.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Most attempts for one request.
+    /// Most attempts of one request.
     pub max_attempts: u32,
-    /// Two attempts of one request may be out together.
+    /// Whether two attempts of one request may be in flight at once.
     pub concurrent_attempts: bool,
-    /// Probes may be sent.
+    /// Whether probes may be sent.
     pub probes: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// Longest pause to advise after a refusal; 0 for no advice.
+    /// Longest time to advise a client to wait after a rejection; 0 for no advice.
     pub max_retry_after: Nanos,
 }
 
-/// The figures of the four rules.
+/// Parameters of the contract's rules.
 #[derive(Clone, Copy, Debug)]
 pub struct RuleParameters {
-    /// A final answer is accepted this long after the client's deadline.
+    /// A final answer is accepted up to this long after the client's deadline.
     pub answer_slack: Nanos,
-    /// An asking node that has not asked for this long is deemed told of the list of that time.
+    /// A node in [`DiscoveryMode::OnRequest`] that has not polled for this long counts as notified of the
+    /// list as it was then.
     pub max_poll_interval: Nanos,
-    /// Sends to a draining backend must have ended this long after the node was told.
+    /// Sends to a draining backend must have ended this long after the node was notified.
     pub drain_grace: Nanos,
-    /// Share of its capacity that a backend starts with, or more.
+    /// Share of its capacity that a backend has at its start, at least.
     pub initial_capacity: f64,
-    /// A backend is warm this long after its start, or sooner.
+    /// Time after its start until a backend is warm, at most.
     pub slow_start_window: Nanos,
-    /// A cold backend sent more than this multiple of its capacity falls over ...
+    /// A cold backend is overloaded when it is sent more than this multiple of its capacity ...
     pub overload_factor: f64,
-    /// ... counted over any span of this length.
+    /// ... within any window of this length.
     pub overload_window: Nanos,
 }
 
-/// What the node is told at its start.
+/// Settings of a node.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The node's own zone.
@@ -135,32 +138,32 @@
     pub zone_count: u32,
     /// How many nodes share the backends, this one included.
     pub node_count: u32,
-    /// The classes, by [`ClassId`].
+    /// The request classes, indexed by [`ClassId`].
     pub classes: Vec<ClassSettings>,
-    /// Each tenant's requests a second, over all nodes, within its share.
+    /// Quota of each tenant over all nodes, in requests per second.
     pub tenant_quotas: Vec<f64>,
-    /// Worth of a request beyond its tenant's share, against one within it.
+    /// Value of a request over its tenant's quota, relative to one within it.
     pub over_quota_value: f64,
-    /// How the list arrives.
+    /// How the node obtains the list of backends.
     pub discovery: DiscoveryMode,
-    /// What the list's sizes stand for.
+    /// Meaning of the weights in the list.
     pub weight_kind: WeightKind,
-    /// The site's limits.
+    /// The operator's limits.
     pub limits: Limits,
-    /// The figures of the rules.
+    /// Parameters of the contract's rules.
     pub rules: RuleParameters,
-    /// Share of the site's goal that the worst-served class decides, 0 to 1.
+    /// Weight of the worst-served class in the operator's goal, 0 to 1.
     pub worst_class_weight: f64,
-    /// Clients mark their repeats, all of them.
+    /// Whether clients mark all their retries.
     pub retries_marked: bool,
-    /// Worth is counted for each unit of work, not for each request.
+    /// Whether value counts per unit of work instead of per request.
     pub value_per_work: bool,
-    /// Shortest time between two handlings.
+    /// Shortest time between two events.
     pub quantum: Nanos,
 }
 
 impl Settings {
-    /// Settings for a node in zone `home` of `zones`, with plain values for the rest and no classes yet.
+    /// Settings of a node in zone `home` of `zones` zones, with defaults for the rest and without classes.
     pub fn new(home: ZoneId, zones: u32) -> Self {
         Self {
             home_zone: home,
@@ -194,28 +197,28 @@
         }
     }
 
-    /// Checks that the settings can be used.
+    /// Checks that the settings are valid.
     pub fn validate(&self) -> Result<(), SettingsError> {
         let fail = |field, problem| Err(SettingsError { field, problem });
         let rate = |v: f64| v.is_finite() && v >= 0.0;
         if self.zone_count == 0 {
-            return fail("zone_count", "there must be at least one");
+            return fail("zone_count", "must be at least 1");
         }
         if self.home_zone.0 >= self.zone_count {
-            return fail("home_zone", "is not one of the zones");
+            return fail("home_zone", "must be less than the number of zones");
         }
         if self.node_count == 0 {
-            return fail("node_count", "there must be at least one");
+            return fail("node_count", "must be at least 1");
         }
         if self.classes.is_empty() {
-            return fail("classes", "there must be at least one");
+            return fail("classes", "must contain at least one class");
         }
         for class in &self.classes {
             if class.latency_target == 0 || class.deadline == 0 {
-                return fail("classes", "aim and deadline must be above 0");
+                return fail("classes", "latency target and deadline must be above 0");
             }
             if !rate(class.value) || !rate(class.late_value_share) {
-                return fail("classes", "worth and late share must be finite and not negative");
+                return fail("classes", "value and late value share must be finite and not negative");
             }
         }
         if self.limits.max_attempts == 0 {
@@ -225,7 +228,7 @@
             return fail("rules.overload_factor", "must be finite and above 0");
         }
         if !rate(self.rules.initial_capacity) || self.rules.initial_capacity > 1.0 {
-            return fail("rules.initial_capacity", "must lie between 0 and 1");
+            return fail("rules.initial_capacity", "must be between 0 and 1");
         }
         if !self.tenant_quotas.iter().all(|&quota| rate(quota)) {
             return fail("tenant_quotas", "must be finite and not negative");
@@ -240,10 +243,10 @@
     }
 }
 
-/// Settings that cannot be used: which field, and why.
+/// Invalid settings: which field, and why.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// The field at fault.
+    /// The invalid field.
     pub field: &'static str,
     /// What is wrong with it.
     pub problem: &'static str,
@@ -257,56 +260,56 @@
 
 impl std::error::Error for SettingsError {}
 
-/// What the list says of a backend.
+/// Lifecycle stage of a backend in the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Stage {
-    /// Takes requests.
+    /// Accepts requests.
     #[default]
     InService,
-    /// Completes its work; nothing new may be sent.
+    /// Completes its requests; no new ones may be sent.
     Draining,
     /// Removed.
     Gone,
 }
 
-/// One line of the list of backends.
+/// One entry of the list of backends.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Member {
     /// The backend.
     pub backend: BackendId,
     /// Its zone.
     pub zone: ZoneId,
-    /// Its machine kind.
+    /// Its machine kind, by number.
     pub kind: u32,
-    /// Its cell.
+    /// Its cell; see [`DedupGroup::Cell`].
     pub cell: u64,
-    /// What it may take.
+    /// Its lifecycle stage.
     pub stage: Stage,
-    /// Its size against the others', or what [`WeightKind`] says; 0 or less counts as 1.
+    /// Its relative capacity, as [`WeightKind`] specifies; 0 or less counts as 1.
     pub weight: f64,
-    /// When it last started, if lately.
+    /// When it last started, if recently.
     pub online_since: Option<Nanos>,
 }
 
-/// Which list an [`Event::BackendList`] brings.
+/// What the list of an [`Event::BackendList`] covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
-    /// Changed lines only.
+    /// Changed entries only.
     Changes,
-    /// The whole list: who is missing has gone.
+    /// The full list: a missing backend is gone.
     Full,
-    /// The whole list as the node last held it, perhaps stale.
+    /// The full list from the node's cache, possibly stale.
     Cached,
 }
 
-/// A backend's figures of its load; absent where not reported.
+/// A backend's load, as it reports it; absent values were not reported.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
     /// Share of its cores in use.
     pub util: Option<f64>,
-    /// Requests it serves a second.
+    /// Requests that it serves per second.
     pub rate: Option<f64>,
-    /// Requests it holds.
+    /// Requests that it holds.
     pub in_flight: Option<f64>,
 }
 
@@ -317,15 +320,15 @@
     Served,
     /// The backend returned an error.
     Error,
-    /// Sent away without a look.
+    /// Rejected at once, as the backend was full.
     Full,
-    /// No answer in time.
+    /// No response in time.
     TimedOut,
-    /// No connection came about.
+    /// The connection could not be established.
     ConnectFailed,
-    /// The connection broke while it was out.
+    /// The connection broke during the attempt.
     Reset,
-    /// Withdrawn.
+    /// Cancelled by the node.
     Cancelled,
     /// Never sent.
     Moot,
@@ -338,72 +341,72 @@
     }
 }
 
-/// A request that has come in.
+/// A request that has arrived.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
     /// Its id.
     pub request: RequestId,
     /// Its class.
     pub class: ClassId,
-    /// How much work to expect, on a standard core.
+    /// Expected work, as time on a standard core.
     pub cost_hint: Option<Nanos>,
-    /// The client marks it as a repeat.
+    /// Whether the client marks it as a retry.
     pub is_retry: bool,
-    /// Whose it is: a position in [`Settings::tenant_quotas`].
+    /// Its tenant: an index in [`Settings::tenant_quotas`].
     pub tenant: Option<u32>,
-    /// When the client gives this try up.
+    /// When the client stops waiting for this try.
     pub not_after: Nanos,
 }
 
-/// The end of one attempt.
+/// The result of one attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptResult {
     /// The request.
     pub request: RequestId,
-    /// The attempt's number, from 0 in the order of the sends.
+    /// The attempt's number, counted from 0 in the order of sends.
     pub attempt: u32,
     /// How it ended.
     pub outcome: Outcome,
     /// Time since the send.
     pub elapsed: Nanos,
-    /// The request has ended, by this or earlier.
+    /// Whether the request has ended, now or earlier.
     pub request_ended: bool,
     /// The backend's figures, if any came.
     pub report: LoadReport,
 }
 
-/// What the operator has ordered of a zone.
+/// An operator's override for one zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneOverride {
     /// The zone.
     pub zone: ZoneId,
-    /// The region that it lies in; zones of one number are near to each other.
+    /// Its region; zones of the same region are near each other.
     pub region: u32,
-    /// Part of the requests that the design would send there which it may be given, 0 to 1.
+    /// Share of the traffic that would normally go there which it may be given, 0 to 1.
     pub traffic_share: f64,
 }
 
-/// What the module hears.
+/// An event that the decision core handles.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The node starts. Must come first, once.
+    /// The node starts. Must be the first event, and occur once.
     Start,
     /// A list of backends.
     BackendList {
-        /// Which list.
+        /// What the list covers.
         scope: ListScope,
-        /// Its lines.
+        /// Its entries.
         members: Vec<Member>,
     },
-    /// A call to discovery failed or the watch broke.
+    /// A call to discovery failed, or the watch broke.
     DiscoveryFailed,
-    /// The operator's orders, in place of all earlier ones. A zone that none names is open.
+    /// The operator's overrides, which replace all earlier ones. A zone without one gets its full traffic.
     ZoneOverrides(Vec<ZoneOverride>),
-    /// A request came in and is owed one final answer.
+    /// A request arrived; it must get exactly one final answer.
     Request(Arrival),
     /// An attempt ended.
     AttemptEnded(AttemptResult),
-    /// A streamed answer has started.
+    /// A streamed response has started.
     ResponseStarted {
         /// The request.
         request: RequestId,
@@ -419,19 +422,19 @@
         /// The backend's figures, if any came.
         report: LoadReport,
     },
-    /// The client has gone; nothing more is owed.
+    /// The client disconnected; no answer is needed any more.
     ClientDisconnected {
         /// The request.
         request: RequestId,
     },
-    /// A timer came due.
+    /// A timer fired.
     Timer {
         /// As given in [`Action::Timer`].
         token: u64,
     },
 }
 
-/// What the module says.
+/// An action that the decision core asks for.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
@@ -440,27 +443,27 @@
         request: RequestId,
         /// The backend.
         backend: BackendId,
-        /// Its time-out; `None` until the client gives up.
+        /// Its timeout; `None` to wait as long as the client does.
         timeout: Option<Nanos>,
-        /// When it has to be on its way at the latest, as [`Balancer::handle`] counts time: a repeat that is
-        /// sent later may run again. `None` for one that may be sent at any time.
+        /// Latest time to send it, on the clock of [`Balancer::handle`]: a retry that is sent later may run a
+        /// second time. `None` for no limit.
         ///
         /// [`Balancer::handle`]: crate::Balancer::handle
         send_by: Option<Nanos>,
     },
-    /// Final answer: refused, trying again does no harm.
+    /// Final answer: rejected; the client may safely retry.
     Reject {
         /// The request.
         request: RequestId,
-        /// Advice how long to stay away, until what is queued now has been answered or given up; 0 for none.
+        /// How long the client is advised to wait before a retry; 0 for no advice.
         retry_after: Nanos,
     },
-    /// Final answer: failed, with no promise.
+    /// Final answer: failed; the request may have run.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         request: RequestId,
@@ -472,108 +475,108 @@
         /// The backend.
         backend: BackendId,
     },
-    /// Ask discovery for all changes from now on.
+    /// Watch discovery for changes from now on.
     Watch,
-    /// Ask discovery for the whole list once.
+    /// Fetch the full list from discovery once.
     Fetch,
-    /// Wake the module after this time.
+    /// Set a timer.
     Timer {
         /// How long from now.
         after: Nanos,
-        /// Comes back in [`Event::Timer`].
+        /// Returned in [`Event::Timer`].
         token: u64,
     },
-    /// A line for the operators' log.
+    /// An event for the operator's log.
     Log(LogEvent),
 }
 
-/// Why slow start let an attempt through, or kept it back.
+/// Which rule of slow start permitted or denied an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SlowStartBranch {
-    /// The work sent in the span and this attempt fit into the node's part of the budget.
+    /// This attempt and the work sent in the current window fit into the node's budget.
     WithinBudget,
-    /// Nothing was sent in the span, and chance let this node be one of those that try.
+    /// Nothing was sent in the current window, and the node was drawn for a trial request.
     Trial,
-    /// The budget is spent, or chance has left the trial to other nodes.
+    /// The budget is spent, and the node was not drawn for a trial.
     OverBudget,
-    /// Other nodes use this backend.
+    /// The backend is not in the node's subset.
     OutsideSubset,
 }
 
 impl SlowStartBranch {
-    /// Whether the attempt may be made.
+    /// Whether the attempt is permitted.
     pub fn grants(self) -> bool {
         matches!(self, Self::WithinBudget | Self::Trial)
     }
 }
 
-/// One decision of slow start with the figures that it rests on. Work is in requests of mean work.
+/// One slow-start decision with its inputs. Work is in requests of mean work.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartDecision {
     /// The backend that is warming up.
     pub backend: BackendId,
     /// Time since its start, in nanoseconds.
     pub age: Nanos,
-    /// Part of its capacity that it is held to have, 0 to 1.
+    /// Share of its capacity that it is assumed to have, 0 to 1.
     pub ramp: f64,
-    /// What a unit of warm capacity in the zone serves to this node, in work a second.
+    /// Estimated throughput of a unit of warm capacity in the zone for this node, in work per second.
     pub capacity_estimate: f64,
-    /// What the budget is drawn from by that estimate, in work a second.
+    /// Rate by that estimate on which the budget is based, in work per second.
     pub measured_rate: f64,
-    /// The least budget, drawn from the node's part of one request at a time.
+    /// Minimum of the budget: the node's share of serving one request at a time.
     pub min_budget: f64,
-    /// What the budget is raised by: the node's part of the chance that the rule leaves.
+    /// Addition to the budget: the node's share of the random variation that the rule tolerates.
     pub variance_allowance: f64,
-    /// Delay of this backend's answers against the expected one.
+    /// Response time of the backend relative to the expected one.
     pub slowness: f64,
-    /// What multiplies the budget for answers that came sooner than the ramp implies.
+    /// Factor on the budget for responses that were faster than the ramp implies.
     pub speed_factor: f64,
-    /// Work that this node may send in a span of [`RuleParameters::overload_window`].
+    /// Work that this node may send within [`RuleParameters::overload_window`].
     pub budget: f64,
-    /// Work that it has sent in the span so far.
+    /// Work that it has sent in the current window.
     pub spent: f64,
-    /// Work of the attempt that was decided on.
+    /// Work of the attempt.
     pub cost: f64,
     /// Which rule decided.
     pub branch: SlowStartBranch,
-    /// Attempts kept back since the last note on this backend, this one included.
+    /// Attempts denied since the last log event of the backend, this one included.
     pub denials: u32,
 }
 
-/// What the operators' log is told: what happened, to what, and the figures. [`fmt::Display`] words it.
+/// An event for the operator's log. [`fmt::Display`] gives its text.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LogEvent {
-    /// Slow start has let an attempt to a cold backend through, or has kept some back.
+    /// Slow start has permitted an attempt to a cold backend, or has denied some.
     SlowStart(SlowStartDecision),
-    /// A backend that was cold has its full capacity now.
+    /// A backend has ended slow start.
     WarmedUp {
         /// The backend.
         backend: BackendId,
     },
-    /// The home zone has crossed the threshold.
+    /// The home zone's utilisation has crossed the spill threshold.
     Spillover {
         /// The node's own zone.
         home: ZoneId,
-        /// Whether it is over the threshold now.
+        /// Whether it is at or over the threshold now.
         spilling: bool,
-        /// The zone with the best score, home where there is none.
+        /// The other zone with the best score, or the home zone if there is none.
         best: ZoneId,
     },
-    /// An outlier gets no requests for a while.
+    /// An outlier was ejected: it gets no requests for a while.
     Ejected {
         /// The backend.
         backend: BackendId,
         /// For how long.
         duration: Nanos,
-        /// How the last attempt on it ended.
+        /// Outcome of the last attempt.
         cause: Outcome,
     },
-    /// An ejected backend has served its trials.
+    /// An ejected backend has served its trial requests and is used again.
     Readmitted {
         /// The backend.
         backend: BackendId,
     },
-    /// A zone's share of the requests is what was ordered.
+    /// A zone's traffic share has reached its override.
     ShareReached {
         /// The zone.
         zone: ZoneId,
@@ -586,20 +589,18 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Spillover { spilling, best, .. } => {
-                let does = if *spilling { "spills" } else { "serves" };
-                write!(f, "home zone {does}; the best other one is {}", best.0)
+                let state = if *spilling { "over" } else { "under" };
+                write!(f, "home zone {state} the spill threshold; best other zone: {}", best.0)
             }
             Self::Ejected { backend, duration, cause } => {
-                write!(f, "backend {} ejected for {} ms: {cause:?}", backend.0, duration / 1_000_000)
+                write!(f, "backend {} ejected for {} ms after {cause:?}", backend.0, duration / 1_000_000)
             }
-            Self::Readmitted { backend } => write!(f, "backend {} readmitted: trials served", backend.0),
+            Self::Readmitted { backend } => write!(f, "backend {} readmitted after trials", backend.0),
             Self::SlowStart(decision) => {
-                write!(f, "backend {} is cold: {:?}", decision.backend.0, decision.branch)
-            }
-            Self::WarmedUp { backend } => write!(f, "backend {} is warm", backend.0),
-            Self::ShareReached { zone, percent } => {
-                write!(f, "zone {} has its ordered share, {percent}%", zone.0)
+                write!(f, "backend {} in slow start: {:?}", decision.backend.0, decision.branch)
             }
+            Self::WarmedUp { backend } => write!(f, "backend {} has ended slow start", backend.0),
+            Self::ShareReached { zone, percent } => write!(f, "zone {} at its share of {percent}%", zone.0),
         }
     }
 }
--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: what a list of backends changes, and when it is asked for again.
+//! Discovery: applies lists of backends, and schedules retries of the watch.
 
 use std::collections::BTreeSet;
 
@@ -8,16 +8,17 @@
 use crate::crowding::SUBSET_SIZE;
 use crate::state::*;
 
-/// Least and most that one late figure moves a backend's share of the picks.
+/// Bounds of the weight correction that one list makes.
 const CORRECTION_BOUNDS: (f64, f64) = (0.1, 2.0);
-/// How far one list moves a backend's lasting share, and the bounds of that share.
+/// Largest relative step of a backend's long-term weight bias for each list, and the bounds of the bias.
 const BIAS_STEP: f64 = 0.15;
 const BIAS_BOUNDS: (f64, f64) = (0.1, 4.0);
-/// First wait after a failed call to discovery; doubled up to 2^3, jittered: with the call's own time, what a
-/// silent call missed comes within the 6 s after which it counts as told.
+/// First delay before a failed watch is retried; doubles up to 8 times, with jitter. Short enough to obtain a
+/// missed list before the node counts as notified of it.
 const WATCH_RETRY_BASE: Nanos = 300 * MS;
 
 impl Balancer {
+    /// Applies a list of backends, then recomputes the node's subsets and the initial concurrency limits.
     pub(crate) fn update_backends(&mut self, scope: ListScope, members: Vec<Member>) {
         if scope != ListScope::Cached {
             self.discovery_failures = 0;
@@ -34,7 +35,7 @@
             *known = known.max(member.weight);
         }
         for mut member in members {
-            let told = member.weight;
+            let listed_weight = member.weight;
             if live {
                 member.weight = self.kind_capacity.get(&member.kind).copied().unwrap_or(1.0);
             }
@@ -46,12 +47,15 @@
             backend.member = member;
             backend.rendezvous_hash =
                 mix64(self.seed ^ u64::from(member.backend.0).wrapping_mul(0xd6e8_feb8_6659_fd93));
-            backend.requests_per_core = (live && told > 0.0).then(|| (member.weight / told - 1.0).max(0.0));
+            backend.requests_per_core =
+                (live && listed_weight > 0.0).then(|| (member.weight / listed_weight - 1.0).max(0.0));
         }
-        // One that is told as gone and ready again in the same life has been sent what it was sent.
-        let since = self.slow_start_window_start();
-        let spent = |backend: &Backend| backend.slow_start_sends.back().is_some_and(|(at, _)| *at >= since);
-        self.backends.retain(|_, b| b.member.stage != Stage::Gone || b.in_flight > 0 || spent(b));
+        // Keeps a removed backend while its sends still count against its slow-start budget, as it may be
+        // listed again without a restart.
+        let window_start = self.slow_start_window_start();
+        let sent_recently =
+            |backend: &Backend| backend.slow_start_sends.back().is_some_and(|(at, _)| *at >= window_start);
+        self.backends.retain(|_, b| b.member.stage != Stage::Gone || b.in_flight > 0 || sent_recently(b));
         self.zone_backends.iter_mut().chain(&mut self.zone_subsets).for_each(Vec::clear);
         for (&id, backend) in &self.backends {
             self.zone_backends
@@ -59,74 +63,80 @@
                 .into_iter()
                 .for_each(|ids| ids.push(id));
         }
-        for (zone, view) in self.zones.iter_mut().enumerate() {
+        for (zone, state) in self.zones.iter_mut().enumerate() {
             let all = || self.zone_backends[zone].iter().filter_map(|id| Some((*id, self.backends.get(id)?)));
             let listed = || all().map(|(_, b)| b).filter(|b| b.member.stage == Stage::InService);
             let mut hashes: Vec<u64> = listed().map(|b| b.rendezvous_hash).collect();
             hashes.sort_unstable();
-            view.backend_count = hashes.len() as f64;
-            view.capacity = listed().map(Backend::capacity).sum();
-            view.subset_max_hash = hashes.get(SUBSET_SIZE - 1).copied().unwrap_or(u64::MAX);
+            state.backend_count = hashes.len() as f64;
+            state.capacity = listed().map(Backend::capacity).sum();
+            state.subset_max_hash = hashes.get(SUBSET_SIZE - 1).copied().unwrap_or(u64::MAX);
             self.zone_subsets[zone]
-                .extend(all().filter(|(_, b)| b.rendezvous_hash <= view.subset_max_hash).map(|(id, _)| id));
+                .extend(all().filter(|(_, b)| b.rendezvous_hash <= state.subset_max_hash).map(|(id, _)| id));
         }
-        // Before anything has come back a zone is expected to be asked for as much as any other, whatever its
-        // size, and by the nodes of all others together no more than by its own.
+        // Assumes that all zones receive the same traffic whatever their capacity, and that the nodes of all
+        // other zones together send a zone as much as its own nodes do.
         let zones = f64::from(self.settings.zone_count);
         let mean = (self.zones.iter().map(|zone| zone.capacity).sum::<f64>() / zones).max(1e-9);
-        for (zone, view) in self.zones.iter_mut().enumerate() {
-            let users = if zone == self.settings.home_zone.0 as usize { 1.0 } else { zones };
-            view.initial_limit = INITIAL_LIMIT * view.capacity / mean / users;
+        for (zone, state) in self.zones.iter_mut().enumerate() {
+            let sharing_zones = if zone == self.settings.home_zone.0 as usize { 1.0 } else { zones };
+            state.initial_limit = INITIAL_LIMIT * state.capacity / mean / sharing_zones;
         }
         if live && scope != ListScope::Cached {
             self.apply_live_weights();
         }
     }
 
-    /// What a list's live weights say, which reach all nodes alike and late. A backend's share of the picks
-    /// moves by what evens out the figures over the arrivals of about the time until the next ones show
-    /// (load interpretation), no more, or all nodes would herd; what lasts is learned in small steps.
+    /// Applies a list's live weights, which are old and the same for all nodes. Corrects a backend's weight
+    /// by as much as evens out the load over the arrivals expected until the next list (load interpretation);
+    /// more would make the nodes herd. Lasting differences are learned in small steps.
     pub(crate) fn apply_live_weights(&mut self) {
-        let period =
+        let interval_s =
             self.list_received_at.map_or(1.0, |at| self.now.saturating_sub(at) as f64 / SECOND as f64);
-        self.list_interval_s += (period.min(3.0) - self.list_interval_s) * 0.2;
+        self.list_interval_s += (interval_s.min(3.0) - self.list_interval_s) * 0.2;
         self.list_received_at = Some(self.now);
-        let mut sums = vec![(0.0, 0.0, 0.0); self.zones.len()];
+        let mut totals = vec![(0.0, 0.0, 0.0); self.zones.len()];
         for backend in self.backends.values().filter(|b| b.member.stage == Stage::InService) {
-            if let (Some(sum), Some(held)) =
-                (sums.get_mut(backend.member.zone.0 as usize), backend.requests_per_core)
+            if let (Some(total), Some(requests)) =
+                (totals.get_mut(backend.member.zone.0 as usize), backend.requests_per_core)
             {
-                *sum = (sum.0 + 1.0, sum.1 + held, sum.2 + backend.capacity());
+                *total = (total.0 + 1.0, total.1 + requests, total.2 + backend.capacity());
             }
         }
         let arrivals = self.arrival_rate() * self.nodes_per_zone() * 2.0 * self.list_interval_s;
         self.zones
             .iter_mut()
-            .zip(&sums)
-            .for_each(|(zone, sum)| zone.mean_requests_per_core = sum.1 / f64::max(sum.0, 1.0));
+            .zip(&totals)
+            .for_each(|(zone, total)| zone.mean_requests_per_core = total.1 / f64::max(total.0, 1.0));
         for backend in self.backends.values_mut() {
-            let (Some(&(count, total, size)), Some(held)) =
-                (sums.get(backend.member.zone.0 as usize), backend.requests_per_core)
+            let (Some(&(count, total, capacity)), Some(requests)) =
+                (totals.get(backend.member.zone.0 as usize), backend.requests_per_core)
             else {
                 continue;
             };
-            // A slow machine should hold less for the same delay.
-            let mean = ((total + count) / f64::max(size, 1e-9) * backend.capacity() - 1.0).max(0.2);
-            let coming = (arrivals * backend.capacity() / f64::max(size, 1e-9)).max(1.0);
+            // A backend of less capacity should hold fewer requests for the same delay.
+            let mean = ((total + count) / f64::max(capacity, 1e-9) * backend.capacity() - 1.0).max(0.2);
+            let expected_arrivals = (arrivals * backend.capacity() / f64::max(capacity, 1e-9)).max(1.0);
             backend.weight_correction =
-                (1.0 + (mean - held) / coming).clamp(CORRECTION_BOUNDS.0, CORRECTION_BOUNDS.1);
-            let step = BIAS_STEP * (mean - held) / (mean + 1.0).max(held);
+                (1.0 + (mean - requests) / expected_arrivals).clamp(CORRECTION_BOUNDS.0, CORRECTION_BOUNDS.1);
+            let step = BIAS_STEP * (mean - requests) / (mean + 1.0).max(requests);
             backend.weight_bias = (backend.weight_bias * step.exp()).clamp(BIAS_BOUNDS.0, BIAS_BOUNDS.1);
-            backend.utilisation.update(self.now, held / (1.0 + held), UTILISATION_TIME_CONSTANT, 0.05);
+            backend.utilisation.update(
+                self.now,
+                requests / (1.0 + requests),
+                UTILISATION_TIME_CONSTANT,
+                0.05,
+            );
             self.utilisation_at = Some(self.now);
         }
         self.update_shares();
     }
 
+    /// Schedules the next watch with exponential backoff.
     pub(crate) fn schedule_watch_retry(&mut self) {
-        let wait =
+        let delay =
             (WATCH_RETRY_BASE << self.discovery_failures.min(3)) as f64 * (0.75 + 0.5 * self.random_unit());
         self.discovery_failures += 1;
-        self.watch_retry_at = Some(self.now + wait as Nanos);
+        self.watch_retry_at = Some(self.now + delay as Nanos);
     }
 }
--- a/src/health.rs
+++ b/src/health.rs
@@ -1,20 +1,21 @@
-//! Outlier ejection: a backend that fails is left out for a while and readmitted by trials.
+//! Outlier ejection: a failing backend gets no requests for a while and is readmitted by trial requests.
 
 use crate::api::*;
 use crate::state::*;
 
-/// Failures in a row (a broken or refused connection counts double) that make an outlier.
+/// Consecutive failures that make a backend an outlier; a refused or broken connection counts twice.
 const EJECTION_THRESHOLD: u32 = 6;
-/// A connection that was not refused by then is to a machine that says nothing.
+/// A connection attempt that fails after this time was not refused: the machine does not respond.
 const UNRESPONSIVE_AFTER: Nanos = 40 * MS;
-/// First ejection; doubled each time up to 2^5.
+/// Duration of the first ejection; doubles with each further one, up to 32 times.
 const BASE_EJECTION: Nanos = SECOND;
-/// Wait after a backend sent work away as full; doubled up to 2^4 while it goes on.
+/// Pause after a backend rejected a request as full; doubles with each consecutive rejection, up to 16 times.
 const BASE_REJECTION_BACKOFF: Nanos = 100 * MS;
-/// At most this share of the listed backends is ejected (panic threshold).
+/// Largest share of the listed backends that may be ejected (panic threshold).
 const MAX_EJECTED_SHARE: f64 = 0.5;
 
 impl Balancer {
+    /// Whether requests may be sent to the backend: neither backing off nor ejected, or due for a trial.
     pub(crate) fn is_available(&self, backend: &Backend) -> bool {
         if self.now < backend.backoff_until {
             return false;
@@ -26,7 +27,8 @@
         }
     }
 
-    /// Ejects an outlier, readmits after two served trials.
+    /// Updates a backend's health by the result of an attempt: ejects an outlier, and readmits it after two
+    /// served trials.
     pub(crate) fn update_health(&mut self, id: BackendId, result: &AttemptResult, actions: &mut Vec<Action>) {
         let outcome = result.outcome;
         let weight = match outcome {
@@ -35,13 +37,13 @@
             Outcome::ConnectFailed | Outcome::Reset => 2,
             Outcome::Cancelled | Outcome::Moot => return,
         };
-        let full =
+        let table_full =
             outcome == Outcome::ConnectFailed && self.many_nodes() && result.elapsed < UNRESPONSIVE_AFTER;
-        let turned_away = outcome == Outcome::Full || full;
+        let rejected = outcome == Outcome::Full || table_full;
         let Some(backend) = self.backends.get_mut(&id) else { return };
-        // Sent away at once, again and again, a backend looks idle and would draw all traffic. With many
-        // nodes a refused connection may mean a full table as well as a dead process; a silent one does not.
-        if turned_away {
+        // Backs off, or a backend that rejects quickly would look idle and attract all traffic. With many
+        // nodes a refused connection may mean a full connection table and not a dead process.
+        if rejected {
             backend.backoff_until =
                 self.now + (BASE_REJECTION_BACKOFF << backend.consecutive_rejections.min(4));
             backend.consecutive_rejections += 1;
@@ -65,18 +67,19 @@
         backend.consecutive_failures += weight;
         let listed = self.backends.values().filter(|b| b.member.stage == Stage::InService).count() as f64;
         let ejected = self.backends.values().filter(|b| b.health != Health::Healthy).count() as f64;
-        let failing = self.backends.values().map(|b| b.failure_rate.value).sum::<f64>() / listed.max(1.0);
+        let mean_failure_rate =
+            self.backends.values().map(|b| b.failure_rate.value).sum::<f64>() / listed.max(1.0);
         let Some(backend) = self.backends.get_mut(&id) else { return };
         let outlier = backend.consecutive_failures >= EJECTION_THRESHOLD
-            && backend.failure_rate.value > 2.0 * failing.min(0.4);
+            && backend.failure_rate.value > 2.0 * mean_failure_rate.min(0.4);
         let failed_trial = matches!(backend.health, Health::HalfOpen { .. });
-        let room = ejected + 1.0 <= listed * MAX_EJECTED_SHARE;
-        if failed_trial || (outlier && room && backend.health == Health::Healthy) {
-            let span = BASE_EJECTION << backend.ejections.min(5);
+        let below_max_ejected = ejected + 1.0 <= listed * MAX_EJECTED_SHARE;
+        if failed_trial || (outlier && below_max_ejected && backend.health == Health::Healthy) {
+            let duration = BASE_EJECTION << backend.ejections.min(5);
             backend.ejections += 1;
             backend.consecutive_failures = 0;
-            backend.health = Health::Ejected { until: self.now + span };
-            self.log(actions, LogEvent::Ejected { backend: id, duration: span, cause: outcome });
+            backend.health = Health::Ejected { until: self.now + duration };
+            self.log(actions, LogEvent::Ejected { backend: id, duration, cause: outcome });
         }
     }
 }
--- a/src/pick.rs
+++ b/src/pick.rs
@@ -1,30 +1,31 @@
-//! Which backend of a zone a request goes to.
+//! Picks a backend within a zone.
 
 use crate::api::*;
 use crate::backend_view::SLOWNESS_DECAY;
 use crate::state::*;
 
-/// Spread of the pick's jitter, so that nodes with the same view do not herd.
+/// Largest random increase of an expected delay, so that nodes with the same view do not herd.
 const DELAY_JITTER: f64 = 0.1;
 
 impl Balancer {
-    /// Among the permitted backends that would answer in time: with few nodes the one with the least expected
-    /// delay; with many one by chance, weighted by size and by what all nodes have been told.
+    /// Picks among the permitted backends that should answer in time: with few nodes the one with the least
+    /// expected delay; with many a random one, weighted by capacity and by the load that the list reports.
     pub(crate) fn pick_in_zone(&self, id: RequestId, zone: ZoneId) -> Option<BackendId> {
-        // Many nodes on every backend would fill its table of connections and pay for opening them: each
-        // keeps to a few by its own lots. One that is busy is still its own: the others are as busy.
-        let subset =
+        // With many nodes, each uses a subset of the backends, as connections from all nodes would fill a
+        // backend's connection table. A busy subset is not widened: the other backends are as busy.
+        let subset_max_hash =
             self.zones.get(zone.0 as usize).filter(|_| self.has_concurrency(zone, 1.0))?.subset_max_hash;
-        self.pick_among(id, zone, if self.many_nodes() { subset } else { u64::MAX })
+        self.pick_among(id, zone, if self.many_nodes() { subset_max_hash } else { u64::MAX })
     }
 
-    pub(crate) fn pick_among(&self, id: RequestId, zone: ZoneId, subset: u64) -> Option<BackendId> {
-        let (mut best, mut total) = (None, 0.0);
+    /// Picks among the backends of a zone whose rendezvous hash is at most `subset_max_hash`.
+    pub(crate) fn pick_among(&self, id: RequestId, zone: ZoneId, subset_max_hash: u64) -> Option<BackendId> {
+        let (mut best, mut total_weight) = (None, 0.0);
         let request = self.requests.get(&id)?;
-        let mut jitter = self.rng_state ^ id.0.wrapping_mul(0xd6e8_feb8_6659_fd93);
-        // A zone of hundreds is gone through only where its subset has nobody.
-        let within = if subset == u64::MAX { &self.zone_backends } else { &self.zone_subsets };
-        for &to in within.get(zone.0 as usize)? {
+        let mut rng = self.rng_state ^ id.0.wrapping_mul(0xd6e8_feb8_6659_fd93);
+        // Scans the whole zone, maybe hundreds of backends, only without a subset.
+        let candidates = if subset_max_hash == u64::MAX { &self.zone_backends } else { &self.zone_subsets };
+        for &to in candidates.get(zone.0 as usize)? {
             let Some(backend) = self.backends.get(&to) else { continue };
             if !self.is_available(backend)
                 || !self.meets_latency_target(request, backend)
@@ -32,30 +33,33 @@
             {
                 continue;
             }
-            jitter = jitter.wrapping_mul(0x5851_f42d_4c95_7f2d).wrapping_add(0x1405_7b7e_f767_814f);
-            let chance = (jitter >> 40) as f64 / (1u64 << 24) as f64;
+            rng = rng.wrapping_mul(0x5851_f42d_4c95_7f2d).wrapping_add(0x1405_7b7e_f767_814f);
+            let random = (rng >> 40) as f64 / (1u64 << 24) as f64;
             let tried = request.attempts.iter().any(|attempt| attempt.backend == to);
-            // Failing fast must not look idle: failures weigh like delay; faded, or no trial would be made.
-            let failing = 1.0
+            // Failures count as delay, or a backend that fails fast would look idle. They decay, so that it
+            // is tried again.
+            let failure_penalty = 1.0
                 + 8.0 * backend.failure_rate.decayed(self.now, SLOWNESS_DECAY)
                 + if tried { 4.0 } else { 0.0 };
             if self.many_nodes() {
-                // Where the list tells the load, a few answers of one's own would only add noise.
-                let drag = match backend.requests_per_core {
+                // If the list reports the load, this node's few samples would only add noise.
+                let relative_delay = match backend.requests_per_core {
                     Some(_) => 1.0 / backend.ramp(self.now, &self.settings.rules),
                     None => backend.slowness(self.now, &self.settings.rules).max(0.5),
                 };
-                let share =
-                    backend.capacity() * backend.weight_bias * backend.weight_correction / (failing * drag);
-                total += share;
-                if chance * total < share {
+                let weight = backend.capacity() * backend.weight_bias * backend.weight_correction
+                    / (failure_penalty * relative_delay);
+                total_weight += weight;
+                if random * total_weight < weight {
                     best = Some((0.0, to));
                 }
                 continue;
             }
             let slowness = backend.slowness(self.now, &self.settings.rules);
-            let delay =
-                slowness * backend.load(self.nodes_per_zone()) * failing * (1.0 + DELAY_JITTER * chance);
+            let delay = slowness
+                * backend.load(self.nodes_per_zone())
+                * failure_penalty
+                * (1.0 + DELAY_JITTER * random);
             if best.is_none_or(|(least, _)| delay < least) {
                 best = Some((delay, to));
             }
