--- a/tests/any_sequence.rs
+++ b/tests/any_sequence.rs
@@ -6,9 +6,9 @@
 use common::*;
 use std::collections::BTreeMap;
 
-struct Draw(u64);
+struct Rng(u64);
 
-impl Draw {
+impl Rng {
     fn below(&mut self, bound: u64) -> u64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 33) % bound
@@ -27,23 +27,23 @@
 ];
 
 #[derive(Default)]
-struct Tracked {
+struct TrackedRequest {
     class: usize,
     not_after: Nanos,
     attempts: Vec<(BackendId, Nanos, Option<Outcome>)>,
     ended: bool,
 }
 
-struct Run {
+struct ContractChecker {
     now: Nanos,
-    effects: Vec<Idempotency>,
+    idempotency_by_class: Vec<Idempotency>,
     listed: BTreeMap<BackendId, Member>,
-    requests: BTreeMap<RequestId, Tracked>,
-    cap: usize,
-    copies: bool,
+    requests: BTreeMap<RequestId, TrackedRequest>,
+    max_attempts: usize,
+    concurrent_attempts: bool,
 }
 
-impl Run {
+impl ContractChecker {
     fn check(&mut self, actions: &[Action]) {
         for action in actions {
             match *action {
@@ -51,11 +51,11 @@
                 Action::Reject { request, .. } => {
                     let tracked = self.requests.get_mut(&request).expect("a known request");
                     let ran = tracked.attempts.iter().any(|a| a.2.is_none_or(Outcome::may_have_run));
-                    let free = matches!(
-                        self.effects[tracked.class],
+                    let retry_safe = matches!(
+                        self.idempotency_by_class[tracked.class],
                         Idempotency::Idempotent | Idempotency::Keyed { group: DedupGroup::All, .. }
                     );
-                    assert!(free || !ran, "refused what may have run");
+                    assert!(retry_safe || !ran, "rejected a request that may have run");
                     assert!(!std::mem::replace(&mut tracked.ended, true), "two final answers");
                 }
                 Action::Fail { request } => {
@@ -69,19 +69,22 @@
 
     fn check_send(&mut self, request: RequestId, backend: BackendId) {
         let tracked = self.requests.get_mut(&request).expect("a known request");
-        assert!(!tracked.ended, "sent after its end");
-        assert!(self.now < tracked.not_after, "sent after its time");
-        assert!(tracked.attempts.len() < self.cap, "past the cap");
+        assert!(!tracked.ended, "sent after the request had ended");
+        assert!(self.now < tracked.not_after, "sent after the client stopped waiting");
+        assert!(tracked.attempts.len() < self.max_attempts, "sent after the last permitted attempt");
         let member = self.listed[&backend];
-        assert_eq!(member.stage, Stage::InService, "sent to a drained backend");
-        assert!(self.copies || tracked.attempts.iter().all(|a| a.2.is_some()), "two copies");
+        assert_eq!(member.stage, Stage::InService, "sent to a backend that is not in service");
+        assert!(
+            self.concurrent_attempts || tracked.attempts.iter().all(|a| a.2.is_some()),
+            "two attempts in flight"
+        );
         let ran: Vec<_> = tracked.attempts.iter().filter(|a| a.2.is_none_or(Outcome::may_have_run)).collect();
         if let Some(&&(first, at, _)) = ran.first() {
-            match self.effects[tracked.class] {
+            match self.idempotency_by_class[tracked.class] {
                 Idempotency::Idempotent => {}
-                Idempotency::NonIdempotent => panic!("an unsafe request was sent again"),
+                Idempotency::NonIdempotent => panic!("a non-idempotent request was retried"),
                 Idempotency::Keyed { group, window } => {
-                    assert!(self.now <= at + window, "past the window");
+                    assert!(self.now <= at + window, "retried after the deduplication window");
                     let first = self.listed[&first];
                     assert!(match group {
                         DedupGroup::All => true,
@@ -95,43 +98,47 @@
     }
 }
 
-fn drive(seed: u64) {
-    let mut draw = Draw(seed);
-    let window = (1 + draw.below(400)) * MS;
-    let effects = vec![
+fn run_random_events(seed: u64) {
+    let mut rng = Rng(seed);
+    let window = (1 + rng.below(400)) * MS;
+    let idempotency_by_class = vec![
         Idempotency::Idempotent,
         Idempotency::NonIdempotent,
         Idempotency::Keyed { group: DedupGroup::All, window },
         Idempotency::Keyed { group: DedupGroup::Zone, window },
         Idempotency::Keyed { group: DedupGroup::Cell, window },
     ];
-    let mut given = Settings::new(ZoneId(0), 1 + draw.below(3) as u32);
-    given.classes =
-        effects.iter().map(|&idempotency| class(50 + draw.below(500), 600, idempotency)).collect();
-    given.node_count = [1, 3, 1000][draw.below(3) as usize];
-    given.weight_kind = if draw.below(2) == 0 { WeightKind::Live } else { WeightKind::Static };
-    given.limits.max_attempts = 1 + draw.below(4) as u32;
-    given.limits.concurrent_attempts = draw.below(2) == 0;
-    given.limits.cancel = draw.below(2) == 0;
-    given.discovery = if draw.below(2) == 0 { DiscoveryMode::OnRequest } else { DiscoveryMode::Push };
-    let mut run = Run {
+    let mut config = Settings::new(ZoneId(0), 1 + rng.below(3) as u32);
+    config.classes = idempotency_by_class
+        .iter()
+        .map(|&idempotency| class(50 + rng.below(500), 600, idempotency))
+        .collect();
+    config.node_count = [1, 3, 1000][rng.below(3) as usize];
+    config.weight_kind = if rng.below(2) == 0 { WeightKind::Live } else { WeightKind::Static };
+    config.limits.max_attempts = 1 + rng.below(4) as u32;
+    config.limits.concurrent_attempts = rng.below(2) == 0;
+    config.limits.cancel = rng.below(2) == 0;
+    config.discovery = if rng.below(2) == 0 { DiscoveryMode::OnRequest } else { DiscoveryMode::Push };
+    let mut checker = ContractChecker {
         now: SECOND,
-        effects,
+        idempotency_by_class,
         listed: BTreeMap::new(),
         requests: BTreeMap::new(),
-        cap: given.limits.max_attempts as usize,
-        copies: given.limits.concurrent_attempts,
+        max_attempts: config.limits.max_attempts as usize,
+        concurrent_attempts: config.limits.concurrent_attempts,
     };
-    let zones = given.zone_count;
-    let mut node = Node::new(given, vec![]);
+    let zones = config.zone_count;
+    let mut node = Node::new(config, vec![]);
     for step in 0..2000u64 {
-        let event = match draw.below(12) {
+        let event = match rng.below(12) {
             0..=3 => {
                 let request = RequestId(step);
-                let class = draw.below(5) as usize;
-                let not_after = run.now + draw.below(900) * MS;
-                run.requests.insert(request, Tracked { class, not_after, ..Tracked::default() });
-                let hint = (draw.below(2) == 0).then(|| draw.below(90) * MS);
+                let class = rng.below(5) as usize;
+                let not_after = checker.now + rng.below(900) * MS;
+                checker
+                    .requests
+                    .insert(request, TrackedRequest { class, not_after, ..TrackedRequest::default() });
+                let hint = (rng.below(2) == 0).then(|| rng.below(90) * MS);
                 Event::Request(Arrival {
                     request,
                     class: ClassId(class as u32),
@@ -142,23 +149,23 @@
                 })
             }
             4..=7 => {
-                let out: Vec<(RequestId, usize)> = run
+                let in_flight: Vec<(RequestId, usize)> = checker
                     .requests
                     .iter()
                     .flat_map(|(&id, t)| (0..t.attempts.len()).map(move |a| (id, a)))
-                    .filter(|(id, a)| run.requests[id].attempts[*a].2.is_none())
+                    .filter(|(id, a)| checker.requests[id].attempts[*a].2.is_none())
                     .collect();
-                if out.is_empty() {
+                if in_flight.is_empty() {
                     continue;
                 }
-                let (request, attempt) = out[draw.below(out.len() as u64) as usize];
-                let outcome = OUTCOMES[draw.below(8) as usize];
-                let tracked = run.requests.get_mut(&request).unwrap();
+                let (request, attempt) = in_flight[rng.below(in_flight.len() as u64) as usize];
+                let outcome = OUTCOMES[rng.below(8) as usize];
+                let tracked = checker.requests.get_mut(&request).unwrap();
                 tracked.attempts[attempt].2 = Some(outcome);
                 let ended = tracked.ended || outcome == Outcome::Served;
                 tracked.ended = ended;
-                let elapsed = run.now - tracked.attempts[attempt].1;
-                let figure = [0.1, 0.7, 0.99, f64::NAN, -2.0, 1e300][draw.below(6) as usize];
+                let elapsed = checker.now - tracked.attempts[attempt].1;
+                let utilisation = [0.1, 0.7, 0.99, f64::NAN, -2.0, 1e300][rng.below(6) as usize];
                 let attempt = attempt as u32;
                 Event::AttemptEnded(AttemptResult {
                     request,
@@ -166,42 +173,42 @@
                     outcome,
                     elapsed,
                     request_ended: ended,
-                    report: util(figure),
+                    report: util(utilisation),
                 })
             }
             8 => {
-                let members: Vec<Member> = (0..draw.below(8))
+                let members: Vec<Member> = (0..rng.below(8))
                     .map(|_| {
-                        let backend = draw.below(8) as u32;
+                        let backend = rng.below(8) as u32;
                         let stage = [Stage::InService, Stage::InService, Stage::Draining, Stage::Gone];
                         Member {
-                            stage: stage[draw.below(4) as usize],
+                            stage: stage[rng.below(4) as usize],
                             cell: u64::from(backend % 3),
-                            online_since: (draw.below(3) == 0).then_some(run.now),
-                            weight: [1.0, 2.0, 0.0, f64::NAN][draw.below(4) as usize],
+                            online_since: (rng.below(3) == 0).then_some(checker.now),
+                            weight: [1.0, 2.0, 0.0, f64::NAN][rng.below(4) as usize],
                             ..member(backend, backend % (zones + 1))
                         }
                     })
                     .collect();
-                let full = draw.below(3) == 0;
+                let full = rng.below(3) == 0;
                 if full {
-                    run.listed.values_mut().for_each(|member| member.stage = Stage::Gone);
+                    checker.listed.values_mut().for_each(|member| member.stage = Stage::Gone);
                 }
-                run.listed.extend(members.iter().map(|member| (member.backend, *member)));
+                checker.listed.extend(members.iter().map(|member| (member.backend, *member)));
                 let scope = if full { ListScope::Full } else { ListScope::Changes };
                 Event::BackendList { scope, members }
             }
-            9 => match draw.below(4) {
+            9 => match rng.below(4) {
                 0 => Event::DiscoveryFailed,
                 1 => {
-                    let request = RequestId(draw.below(step + 1));
-                    if let Some(tracked) = run.requests.get_mut(&request) {
+                    let request = RequestId(rng.below(step + 1));
+                    if let Some(tracked) = checker.requests.get_mut(&request) {
                         tracked.ended = true;
                     }
                     Event::ClientDisconnected { request }
                 }
                 2 => {
-                    let (request, attempt) = (RequestId(draw.below(step + 1) + 90_000), 3);
+                    let (request, attempt) = (RequestId(rng.below(step + 1) + 90_000), 3);
                     let (outcome, report) = (Outcome::Served, util(0.5));
                     Event::AttemptEnded(AttemptResult {
                         request,
@@ -213,42 +220,42 @@
                     })
                 }
                 _ => Event::ProbeEnded {
-                    backend: BackendId(draw.below(12) as u32),
+                    backend: BackendId(rng.below(12) as u32),
                     outcome: Outcome::Served,
                     elapsed: MS,
                     report: util(0.2),
                 },
             },
             _ => {
-                run.now += draw.below(20) * MS;
-                Event::Timer { token: draw.below(3) }
+                checker.now += rng.below(20) * MS;
+                Event::Timer { token: rng.below(3) }
             }
         };
         // The module's clock may be shown an earlier time; it must stand still, not fail.
-        node.now = if draw.below(50) == 0 { run.now / 2 } else { run.now };
-        let actions = node.tell(event);
-        run.check(&actions);
+        node.now = if rng.below(50) == 0 { checker.now / 2 } else { checker.now };
+        let actions = node.handle(event);
+        checker.check(&actions);
     }
     // Let everything come to its end: every attempt times out, then all must have been answered.
     for _ in 0..200 {
-        run.now += 10 * MS;
-        node.now = run.now;
-        let actions = node.tell(Event::Timer { token: 0 });
-        run.check(&actions);
-        let due: Vec<(RequestId, usize)> = run
+        checker.now += 10 * MS;
+        node.now = checker.now;
+        let actions = node.handle(Event::Timer { token: 0 });
+        checker.check(&actions);
+        let due: Vec<(RequestId, usize)> = checker
             .requests
             .iter()
             .flat_map(|(&id, t)| t.attempts.iter().enumerate().map(move |(n, a)| (id, n, a.2, t.not_after)))
-            .filter(|(_, _, outcome, end)| outcome.is_none() && *end <= run.now)
+            .filter(|(_, _, outcome, end)| outcome.is_none() && *end <= checker.now)
             .map(|(id, n, _, _)| (id, n))
             .collect();
         for (request, attempt) in due {
-            let tracked = run.requests.get_mut(&request).unwrap();
+            let tracked = checker.requests.get_mut(&request).unwrap();
             tracked.attempts[attempt].2 = Some(Outcome::TimedOut);
-            let (ended, elapsed) = (tracked.ended, run.now - tracked.attempts[attempt].1);
+            let (ended, elapsed) = (tracked.ended, checker.now - tracked.attempts[attempt].1);
             let (attempt, report) = (attempt as u32, LoadReport::default());
             let outcome = Outcome::TimedOut;
-            let actions = node.tell(Event::AttemptEnded(AttemptResult {
+            let actions = node.handle(Event::AttemptEnded(AttemptResult {
                 request,
                 attempt,
                 outcome,
@@ -256,18 +263,18 @@
                 request_ended: ended,
                 report,
             }));
-            run.check(&actions);
+            checker.check(&actions);
         }
     }
-    let open = run.requests.values().filter(|tracked| !tracked.ended).count();
+    let open = checker.requests.values().filter(|tracked| !tracked.ended).count();
     assert_eq!(open, 0, "seed {seed}: requests without a final answer");
     assert_eq!(node.balancer.open_requests(), 0, "seed {seed}: ended requests are kept");
 }
 
 #[test]
-fn the_rules_hold_on_arbitrary_sequences() {
+fn the_contract_holds_for_random_event_sequences() {
     for seed in 1..40 {
-        drive(seed);
+        run_random_events(seed);
     }
 }
 
--- a/tests/choice.rs
+++ b/tests/choice.rs
@@ -17,15 +17,15 @@
     let mut node = Node::new(settings(Idempotency::Idempotent), zones());
     for remote in [1, 2, 0] {
         let only = zones().into_iter().filter(|member| member.zone == ZoneId(remote)).collect();
-        node.list(ListScope::Full, only);
-        node.list(ListScope::Full, zones().into_iter().filter(|m| m.zone == ZoneId(remote)).collect());
+        node.update_list(ListScope::Full, only);
+        node.update_list(ListScope::Full, zones().into_iter().filter(|m| m.zone == ZoneId(remote)).collect());
         node.serve(10, |to| util(utils[zone(to) as usize]));
     }
     node
 }
 
 #[test]
-fn home_serves_under_the_threshold() {
+fn the_home_zone_serves_under_the_spill_threshold() {
     let mut node = Node::new(settings(Idempotency::Idempotent), zones());
     let used = node.serve(50, |_| util(0.5));
     // The first sends count in full until the first figures have come back.
@@ -33,14 +33,14 @@
 }
 
 #[test]
-fn an_unseen_zone_gets_the_first_overflow() {
+fn a_zone_without_reports_gets_the_first_overflow() {
     let mut node = Node::new(settings(Idempotency::Idempotent), zones());
     let used = node.serve(50, |to| util(if zone(to) == 0 { 0.95 } else { 0.3 }));
     assert!(used.iter().any(|&to| zone(to) != 0));
 }
 
 #[test]
-fn overflow_goes_to_the_zone_with_headroom() {
+fn overflow_goes_to_the_zone_with_the_most_headroom() {
     let mut node = Node::new(settings(Idempotency::Idempotent), zones());
     let load = [0.95, 0.7, 0.2];
     let used = node.serve(200, |to| util(load[zone(to) as usize]));
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn home_serves_when_no_zone_qualifies() {
+fn the_home_zone_serves_when_no_zone_qualifies() {
     let mut node = Node::new(settings(Idempotency::Idempotent), zones());
     let used = node.serve(200, |_| util(0.95));
     let home = used[50..].iter().filter(|&&to| zone(to) == 0).count();
@@ -58,24 +58,24 @@
 }
 
 #[test]
-fn a_home_zone_without_usable_backends_is_left() {
+fn a_home_zone_without_available_backends_is_left() {
     let mut node = taught([0.1, 0.2, 0.3]);
-    node.list(ListScope::Full, zones().into_iter().filter(|m| m.zone != ZoneId(0)).collect());
-    assert!(sent(&node.ask(SECOND).1).is_some_and(|to| zone(to) != 0));
+    node.update_list(ListScope::Full, zones().into_iter().filter(|m| m.zone != ZoneId(0)).collect());
+    assert!(first_send(&node.request(SECOND).1).is_some_and(|to| zone(to) != 0));
 }
 
 #[test]
-fn own_sends_since_the_report_count() {
+fn sends_since_the_last_report_count_towards_utilisation() {
     let mut node = taught([0.6, 0.1, 0.1]);
-    node.list(ListScope::Full, zones());
+    node.update_list(ListScope::Full, zones());
     node.serve(20, |to| util(if zone(to) == 0 { 0.6 } else { 0.1 }));
-    let used: Vec<u32> = (0..12).filter_map(|_| sent(&node.ask(SECOND).1)).map(zone).collect();
+    let used: Vec<u32> = (0..12).filter_map(|_| first_send(&node.request(SECOND).1)).map(zone).collect();
     assert_eq!(used[0], 0);
     assert!(used.iter().any(|&z| z != 0), "a burst stayed home on an old figure: {used:?}");
 }
 
 #[test]
-fn figures_that_cannot_be_are_passed_over() {
+fn invalid_load_reports_are_ignored() {
     for figure in [f64::NAN, f64::INFINITY, -1.0] {
         let mut node = Node::new(settings(Idempotency::Idempotent), zones());
         let used = node.serve(30, |_| util(figure));
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -9,7 +9,7 @@
 pub struct Node {
     pub balancer: Balancer,
     pub now: Nanos,
-    pub next: u64,
+    pub next_id: u64,
 }
 
 pub fn class(aim_ms: u64, deadline_ms: u64, idempotency: Idempotency) -> ClassSettings {
@@ -41,63 +41,57 @@
 
 impl Node {
     pub fn new(settings: Settings, members: Vec<Member>) -> Self {
-        Self::seeded(7, settings, members)
+        Self::with_seed(7, settings, members)
     }
 
-    pub fn seeded(seed: u64, settings: Settings, members: Vec<Member>) -> Self {
+    pub fn with_seed(seed: u64, settings: Settings, members: Vec<Member>) -> Self {
         let balancer = Balancer::new(settings, seed, SECOND).expect("usable settings");
-        let mut node = Self { balancer, now: SECOND, next: 0 };
-        node.tell(Event::Start);
-        node.tell(Event::BackendList { scope: ListScope::Cached, members });
+        let mut node = Self { balancer, now: SECOND, next_id: 0 };
+        node.handle(Event::Start);
+        node.handle(Event::BackendList { scope: ListScope::Cached, members });
         node
     }
 
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         actions
     }
 
-    pub fn list(&mut self, scope: ListScope, members: Vec<Member>) -> Vec<Action> {
-        self.tell(Event::BackendList { scope, members })
+    pub fn update_list(&mut self, scope: ListScope, members: Vec<Member>) -> Vec<Action> {
+        self.handle(Event::BackendList { scope, members })
     }
 
     /// A request of class 0 that its client gives up after `wait`.
-    pub fn ask(&mut self, wait: Nanos) -> (RequestId, Vec<Action>) {
-        self.ask_marked(wait, false)
+    pub fn request(&mut self, wait: Nanos) -> (RequestId, Vec<Action>) {
+        self.request_marked(wait, false)
     }
 
     /// The same, marked as a client's repeat.
-    pub fn ask_again(&mut self, wait: Nanos) -> (RequestId, Vec<Action>) {
-        self.ask_marked(wait, true)
+    pub fn request_retry(&mut self, wait: Nanos) -> (RequestId, Vec<Action>) {
+        self.request_marked(wait, true)
     }
 
-    fn ask_marked(&mut self, wait: Nanos, repeat: bool) -> (RequestId, Vec<Action>) {
-        let request = RequestId(self.next);
-        self.next += 1;
+    fn request_marked(&mut self, wait: Nanos, is_retry: bool) -> (RequestId, Vec<Action>) {
+        let request = RequestId(self.next_id);
+        self.next_id += 1;
         let not_after = self.now + wait;
-        let arrival = Arrival {
-            request,
-            class: ClassId(0),
-            cost_hint: None,
-            is_retry: repeat,
-            tenant: None,
-            not_after,
-        };
-        (request, self.tell(Event::Request(arrival)))
+        let arrival =
+            Arrival { request, class: ClassId(0), cost_hint: None, is_retry, tenant: None, not_after };
+        (request, self.handle(Event::Request(arrival)))
     }
 
-    pub fn settle(
+    pub fn end_attempt(
         &mut self,
         request: RequestId,
         attempt: u32,
         outcome: Outcome,
         report: LoadReport,
     ) -> Vec<Action> {
-        self.settle_after(request, attempt, outcome, 30 * MS, report)
+        self.end_attempt_after(request, attempt, outcome, 30 * MS, report)
     }
 
-    pub fn settle_after(
+    pub fn end_attempt_after(
         &mut self,
         request: RequestId,
         attempt: u32,
@@ -106,7 +100,7 @@
         report: LoadReport,
     ) -> Vec<Action> {
         let ended = outcome == Outcome::Served;
-        self.tell(Event::AttemptEnded(AttemptResult {
+        self.handle(Event::AttemptEnded(AttemptResult {
             request,
             attempt,
             outcome,
@@ -117,12 +111,12 @@
     }
 
     /// Lets time pass with the housekeeping timer coming due.
-    pub fn pass(&mut self, span: Nanos) -> Vec<Action> {
+    pub fn advance(&mut self, span: Nanos) -> Vec<Action> {
         let end = self.now + span;
         let mut actions = Vec::new();
         while self.now < end {
             self.now = (self.now + 10 * MS).min(end);
-            actions.extend(self.tell(Event::Timer { token: 0 }));
+            actions.extend(self.handle(Event::Timer { token: 0 }));
         }
         actions
     }
@@ -132,13 +126,19 @@
         let mut used = Vec::new();
         let mut out: Vec<(RequestId, u32, BackendId, Nanos)> = Vec::new();
         for turn in 0..count + 40 {
-            let mut actions = if turn < count { self.ask(SECOND).1 } else { Vec::new() };
-            actions.extend(self.pass(10 * MS));
+            let mut actions = if turn < count { self.request(SECOND).1 } else { Vec::new() };
+            actions.extend(self.advance(10 * MS));
             let (due, rest) = out.into_iter().partition(|send| self.now >= send.3 + 40 * MS);
             out = rest;
             for (request, attempt, to, _) in Vec::from_iter::<Vec<_>>(due) {
                 used.push(to);
-                actions.extend(self.settle_after(request, attempt, Outcome::Served, 40 * MS, report(to)));
+                actions.extend(self.end_attempt_after(
+                    request,
+                    attempt,
+                    Outcome::Served,
+                    40 * MS,
+                    report(to),
+                ));
             }
             for action in actions {
                 if let Action::Send { request, backend, .. } = action {
@@ -159,11 +159,11 @@
     actions.iter().filter_map(to).collect()
 }
 
-pub fn sent(actions: &[Action]) -> Option<BackendId> {
+pub fn first_send(actions: &[Action]) -> Option<BackendId> {
     sends(actions).first().copied()
 }
 
-pub fn refused(actions: &[Action]) -> bool {
+pub fn rejected(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::Reject { .. }))
 }
 
--- a/tests/contract.rs
+++ b/tests/contract.rs
@@ -16,109 +16,116 @@
 }
 
 #[test]
-fn a_request_without_any_backend_is_refused_in_time() {
+fn a_request_without_any_backend_is_rejected_in_time() {
     let mut node = Node::new(settings(Idempotency::NonIdempotent), vec![]);
-    let (_, actions) = node.ask(300 * MS);
-    assert!(sent(&actions).is_none() && !refused(&actions) && !failed(&actions), "held at first");
-    assert!(refused(&node.pass(300 * MS)));
+    let (_, actions) = node.request(300 * MS);
+    assert!(first_send(&actions).is_none() && !rejected(&actions) && !failed(&actions), "held at first");
+    assert!(rejected(&node.advance(300 * MS)));
 }
 
 #[test]
-fn not_after_binds_and_not_the_class() {
+fn the_time_given_by_the_client_limits_a_request_rather_than_its_class() {
     let mut node = Node::new(settings(Idempotency::Idempotent), vec![]);
-    node.ask(50 * MS);
-    assert!(refused(&node.pass(60 * MS)));
+    node.request(50 * MS);
+    assert!(rejected(&node.advance(60 * MS)));
 }
 
 #[test]
-fn a_time_out_at_the_deadline_gets_a_final_answer() {
+fn a_timeout_at_the_deadline_gets_a_final_answer() {
     let mut node = Node::new(settings(Idempotency::NonIdempotent), three_zones());
-    let (request, actions) = node.ask(100 * MS);
-    assert!(sent(&actions).is_some());
+    let (request, actions) = node.request(100 * MS);
+    assert!(first_send(&actions).is_some());
     node.now += 100 * MS;
-    assert!(failed(&node.settle(request, 0, Outcome::TimedOut, LoadReport::default())));
+    assert!(failed(&node.end_attempt(request, 0, Outcome::TimedOut, LoadReport::default())));
 }
 
 #[test]
-fn an_ended_request_is_passed_over() {
+fn events_of_an_ended_request_are_ignored() {
     let mut node = Node::new(settings(Idempotency::Idempotent), three_zones());
-    let (request, _) = node.ask(SECOND);
-    node.settle(request, 0, Outcome::Served, util(0.1));
-    assert!(node.settle(request, 0, Outcome::Error, util(0.1)).is_empty());
-    assert!(node.tell(Event::ClientDisconnected { request }).is_empty());
-    let (gone, _) = node.ask(SECOND);
-    node.tell(Event::ClientDisconnected { request: gone });
-    let actions = node.settle(gone, 0, Outcome::Error, util(0.1));
-    assert!(sent(&actions).is_none() && !refused(&actions) && !failed(&actions));
+    let (request, _) = node.request(SECOND);
+    node.end_attempt(request, 0, Outcome::Served, util(0.1));
+    assert!(node.end_attempt(request, 0, Outcome::Error, util(0.1)).is_empty());
+    assert!(node.handle(Event::ClientDisconnected { request }).is_empty());
+    let (gone, _) = node.request(SECOND);
+    node.handle(Event::ClientDisconnected { request: gone });
+    let actions = node.end_attempt(gone, 0, Outcome::Error, util(0.1));
+    assert!(first_send(&actions).is_none() && !rejected(&actions) && !failed(&actions));
 }
 
 #[test]
-fn once_is_sent_again_only_when_it_never_ran() {
+fn a_non_idempotent_request_is_retried_only_if_it_never_ran() {
     for outcome in NOT_RAN {
         let mut node = Node::new(settings(Idempotency::NonIdempotent), three_zones());
-        let (request, _) = node.ask(SECOND);
-        assert!(sent(&node.settle(request, 0, outcome, LoadReport::default())).is_some(), "{outcome:?}");
+        let (request, _) = node.request(SECOND);
+        assert!(
+            first_send(&node.end_attempt(request, 0, outcome, LoadReport::default())).is_some(),
+            "{outcome:?}"
+        );
     }
     for outcome in RAN {
         let mut node = Node::new(settings(Idempotency::NonIdempotent), three_zones());
-        let (request, _) = node.ask(SECOND);
-        let actions = node.settle(request, 0, outcome, LoadReport::default());
-        assert!(sent(&actions).is_none() && failed(&actions) && !refused(&actions), "{outcome:?}");
+        let (request, _) = node.request(SECOND);
+        let actions = node.end_attempt(request, 0, outcome, LoadReport::default());
+        assert!(first_send(&actions).is_none() && failed(&actions) && !rejected(&actions), "{outcome:?}");
     }
 }
 
 #[test]
-fn keyed_stays_in_its_group_and_window() {
+fn a_keyed_request_is_retried_only_within_its_group_and_window() {
     for outcome in RAN {
         let mut node = Node::new(settings(keyed(DedupGroup::Zone)), three_zones());
-        let (request, first) = node.ask(SECOND);
-        let again = sent(&node.settle(request, 0, outcome, LoadReport::default()));
+        let (request, first) = node.request(SECOND);
+        let again = first_send(&node.end_attempt(request, 0, outcome, LoadReport::default()));
         assert_ne!(again, None, "{outcome:?}");
         assert!(again.is_none_or(|to| to.0 < 2), "left its zone after {first:?}");
 
         let mut single = settings(keyed(DedupGroup::Zone));
         single.limits.concurrent_attempts = false;
         let mut node = Node::new(single, three_zones());
-        let (request, _) = node.ask(SECOND);
-        node.pass(200 * MS);
-        let late = node.settle(request, 0, outcome, LoadReport::default());
-        assert!(sent(&late).is_none() && failed(&late), "sent past the window after {outcome:?}");
+        let (request, _) = node.request(SECOND);
+        node.advance(200 * MS);
+        let late = node.end_attempt(request, 0, outcome, LoadReport::default());
+        assert!(first_send(&late).is_none() && failed(&late), "sent past the window after {outcome:?}");
     }
 }
 
 #[test]
-fn keyed_by_cell_does_not_leave_the_cell() {
+fn a_request_keyed_by_cell_is_retried_only_in_the_same_cell() {
     let members = vec![Member { cell: 1, ..member(0, 0) }, Member { cell: 2, ..member(1, 0) }];
     let mut node = Node::new(settings(keyed(DedupGroup::Cell)), members);
-    let (request, first) = node.ask(SECOND);
-    node.list(
+    let (request, first) = node.request(SECOND);
+    node.update_list(
         ListScope::Changes,
-        vec![Member { stage: Stage::Draining, ..member(sent(&first).unwrap().0, 0) }],
+        vec![Member { stage: Stage::Draining, ..member(first_send(&first).unwrap().0, 0) }],
     );
-    let actions = node.settle(request, 0, Outcome::Reset, LoadReport::default());
-    assert!(sent(&actions).is_none() && failed(&actions));
+    let actions = node.end_attempt(request, 0, Outcome::Reset, LoadReport::default());
+    assert!(first_send(&actions).is_none() && failed(&actions));
 }
 
 #[test]
-fn keyed_for_all_may_be_refused_after_it_ran() {
+fn a_request_keyed_for_all_backends_may_be_rejected_after_it_ran() {
     let mut node = Node::new(settings(keyed(DedupGroup::All)), vec![member(0, 0)]);
-    let (request, _) = node.ask(SECOND);
-    node.list(ListScope::Changes, vec![Member { stage: Stage::Gone, ..member(0, 0) }]);
-    assert!(refused(&node.settle(request, 0, Outcome::Reset, LoadReport::default())));
+    let (request, _) = node.request(SECOND);
+    node.update_list(ListScope::Changes, vec![Member { stage: Stage::Gone, ..member(0, 0) }]);
+    assert!(rejected(&node.end_attempt(request, 0, Outcome::Reset, LoadReport::default())));
 }
 
 #[test]
-fn attempts_stop_at_the_cap() {
+fn attempts_stop_at_the_limit() {
     let mut limits = settings(Idempotency::Idempotent);
     limits.limits.max_attempts = 2;
     let mut node = Node::new(limits, three_zones());
-    let (request, _) = node.ask(SECOND);
-    assert!(sent(&node.settle(request, 0, Outcome::ConnectFailed, LoadReport::default())).is_some());
-    assert!(sent(&node.settle(request, 1, Outcome::ConnectFailed, LoadReport::default())).is_none());
+    let (request, _) = node.request(SECOND);
+    assert!(
+        first_send(&node.end_attempt(request, 0, Outcome::ConnectFailed, LoadReport::default())).is_some()
+    );
+    assert!(
+        first_send(&node.end_attempt(request, 1, Outcome::ConnectFailed, LoadReport::default())).is_none()
+    );
 }
 
 #[test]
-fn nothing_is_sent_to_a_backend_once_told_that_it_drains_or_is_gone() {
+fn nothing_is_sent_to_a_backend_listed_as_draining_or_gone() {
     let two = vec![member(0, 0), member(1, 1)];
     let changes = |stage| (ListScope::Changes, vec![Member { stage, ..member(0, 0) }]);
     let lists = [
@@ -129,35 +136,35 @@
     ];
     for (scope, members) in lists {
         let mut node = Node::new(settings(Idempotency::Idempotent), two.clone());
-        node.list(scope, members);
+        node.update_list(scope, members);
         for _ in 0..20 {
-            assert_ne!(sent(&node.ask(SECOND).1), Some(BackendId(0)), "{scope:?}");
+            assert_ne!(first_send(&node.request(SECOND).1), Some(BackendId(0)), "{scope:?}");
         }
     }
 }
 
 #[test]
-fn an_asking_node_watches_and_asks_again_well_within_the_deemed_told_interval() {
-    let mut given = settings(Idempotency::Idempotent);
-    given.discovery = DiscoveryMode::OnRequest;
-    let mut node = Node::new(given, three_zones());
+fn a_polling_node_retries_a_failed_watch_well_within_the_poll_interval() {
+    let mut config = settings(Idempotency::Idempotent);
+    config.discovery = DiscoveryMode::OnRequest;
+    let mut node = Node::new(config, three_zones());
     for _ in 0..8 {
-        node.tell(Event::DiscoveryFailed);
-        let actions = node.pass(8 * SECOND);
+        node.handle(Event::DiscoveryFailed);
+        let actions = node.advance(8 * SECOND);
         assert_eq!(actions.iter().filter(|action| **action == Action::Watch).count(), 1);
     }
 }
 
 /// Work of about 30 ms each, all backends half used: a cold one must get a small share of it.
 #[test]
-fn a_cold_backend_gets_its_budget_and_no_more() {
+fn a_cold_backend_gets_its_slow_start_budget_and_no_more() {
     let mut node = Node::new(settings(Idempotency::Idempotent), vec![member(0, 0), member(1, 0)]);
     node.serve(200, |_| util(0.5));
     let cold = Member { online_since: Some(node.now), ..member(9, 0) };
-    node.list(ListScope::Changes, vec![cold]);
+    node.update_list(ListScope::Changes, vec![cold]);
     let mut to_cold = 0;
     for _ in 0..40 {
-        to_cold += usize::from(sent(&node.ask(SECOND).1) == Some(BackendId(9)));
+        to_cold += usize::from(first_send(&node.request(SECOND).1) == Some(BackendId(9)));
     }
     // Half used backends take 33 requests a second together: capacity is about 33 a second each, a tenth
     // of it over 2 s about 7, twice that the rule's limit for all nodes.
@@ -168,27 +175,27 @@
 fn a_restarted_backend_is_cold_again() {
     let mut node = Node::new(settings(Idempotency::Idempotent), vec![member(0, 0)]);
     node.serve(50, |_| util(0.5));
-    node.list(ListScope::Changes, vec![Member { online_since: Some(node.now), ..member(0, 0) }]);
-    let burst: usize = (0..30).filter(|_| sent(&node.ask(SECOND).1).is_some()).count();
+    node.update_list(ListScope::Changes, vec![Member { online_since: Some(node.now), ..member(0, 0) }]);
+    let burst: usize = (0..30).filter(|_| first_send(&node.request(SECOND).1).is_some()).count();
     assert!((1..=4).contains(&burst), "{burst} at once to a restarted backend");
 }
 
 /// Incident i911ba9: only requests with low hints fitted into the cold budget, and hints are rough, so the
 /// work behind them was far more than counted.
 #[test]
-fn low_hints_do_not_stretch_the_cold_budget() {
-    let given = Settings {
+fn low_cost_hints_do_not_raise_the_slow_start_budget() {
+    let config = Settings {
         classes: vec![class(60_000, 90_000, Idempotency::Idempotent)],
         ..settings(Idempotency::Idempotent)
     };
-    let mut node = Node::new(given, vec![member(0, 0), member(1, 0)]);
+    let mut node = Node::new(config, vec![member(0, 0), member(1, 0)]);
     let ask = |node: &mut Node, hint| {
-        let request = RequestId(node.next);
-        node.next += 1;
+        let request = RequestId(node.next_id);
+        node.next_id += 1;
         let (class, not_after) = (ClassId(0), node.now + 90 * SECOND);
         (
             request,
-            node.tell(Event::Request(Arrival {
+            node.handle(Event::Request(Arrival {
                 request,
                 class,
                 cost_hint: hint,
@@ -200,11 +207,14 @@
     };
     for _ in 0..600 {
         let (request, _) = ask(&mut node, Some(20 * MS));
-        node.pass(20 * MS);
-        node.settle(request, 0, Outcome::Served, util(0.5));
+        node.advance(20 * MS);
+        node.end_attempt(request, 0, Outcome::Served, util(0.5));
     }
-    node.list(ListScope::Changes, vec![Member { online_since: Some(node.now - 8 * SECOND), ..member(9, 0) }]);
-    let cold = |actions: Vec<Action>| usize::from(sent(&actions) == Some(BackendId(9)));
+    node.update_list(
+        ListScope::Changes,
+        vec![Member { online_since: Some(node.now - 8 * SECOND), ..member(9, 0) }],
+    );
+    let cold = |actions: Vec<Action>| usize::from(first_send(&actions) == Some(BackendId(9)));
     let taken: usize =
         (0..500).map(|turn| cold(ask(&mut node, Some(if turn % 2 == 0 { MS } else { 39 * MS })).1)).sum();
     // One warm backend does a second's work a second at half use, so the share is 0.4 x 2 x 0.34 x 2: in 2 s
@@ -214,7 +224,7 @@
 
 /// What counts is when a repeat can run: a server takes it up after what it holds, and a connection may be late.
 #[test]
-fn a_repeat_is_sent_in_time_to_run_while_its_group_knows_the_first_copy() {
+fn a_keyed_retry_is_sent_in_time_to_run_within_the_deduplication_window() {
     let by = |actions: &[Action]| {
         actions.iter().find_map(|action| match action {
             Action::Send { send_by, .. } => Some(*send_by),
@@ -222,16 +232,16 @@
         })
     };
     let mut node = Node::new(settings(keyed(DedupGroup::Zone)), three_zones());
-    let (request, actions) = node.ask(SECOND);
+    let (request, actions) = node.request(SECOND);
     assert_eq!(by(&actions), Some(None), "nothing is repeated yet");
     let sent_at = node.now;
     node.now += 50 * MS;
-    let again = by(&node.settle(request, 0, Outcome::Reset, LoadReport::default())).expect("a repeat");
+    let again = by(&node.end_attempt(request, 0, Outcome::Reset, LoadReport::default())).expect("a repeat");
     let end = again.expect("a limit");
     assert!(node.now < end && end + 30 * MS < sent_at + 200 * MS, "{}", (end - sent_at) / MS);
     // What would be sent inside the window and run past it is not sent.
     let mut node = Node::new(settings(keyed(DedupGroup::Zone)), three_zones());
-    let (request, _) = node.ask(SECOND);
+    let (request, _) = node.request(SECOND);
     node.now += 190 * MS;
-    assert!(failed(&node.settle(request, 0, Outcome::Reset, LoadReport::default())));
+    assert!(failed(&node.end_attempt(request, 0, Outcome::Reset, LoadReport::default())));
 }
--- a/tests/many.rs
+++ b/tests/many.rs
@@ -17,10 +17,10 @@
     (0..30).map(|b| Member { weight: weight(b / 10), ..member(b, b / 10) }).collect()
 }
 
-fn node(seed: u64, given: Settings, members: Vec<Member>) -> Node {
+fn node(seed: u64, config: Settings, members: Vec<Member>) -> Node {
     // An idle list first: the largest weight of a kind is its size.
-    let mut node = Node::seeded(seed, given, listed([0.0; 3]));
-    node.list(ListScope::Full, members);
+    let mut node = Node::with_seed(seed, config, listed([0.0; 3]));
+    node.update_list(ListScope::Full, members);
     node
 }
 
@@ -29,13 +29,13 @@
     let mut used = Vec::new();
     for turn in 0..seconds * 2 {
         if turn % 2 == 0 {
-            node.list(ListScope::Full, listed(held));
+            node.update_list(ListScope::Full, listed(held));
         }
-        let (request, actions) = node.ask(SECOND);
+        let (request, actions) = node.request(SECOND);
         node.now += took;
-        if let Some(to) = sent(&actions) {
+        if let Some(to) = first_send(&actions) {
             used.push(to);
-            node.settle_after(request, 0, Outcome::Served, took, LoadReport::default());
+            node.end_attempt_after(request, 0, Outcome::Served, took, LoadReport::default());
         }
         node.now += SECOND / 2 - took;
     }
@@ -48,7 +48,7 @@
 
 /// Live weights were taken for capacity: home never counted as used, and never spilled (first full score).
 #[test]
-fn live_weights_tell_the_utilisation() {
+fn live_weights_determine_the_utilisation() {
     let mut calm = node(1, many(), listed([1.0; 3]));
     assert!(serve(&mut calm, 30, [1.0, 0.2, 0.2], 50 * MS).iter().all(|to| zone(to) == 0));
     let mut full = node(1, many(), listed([9.0, 0.2, 3.5]));
@@ -60,7 +60,7 @@
 
 /// Nodes with the same view all left home at once and piled onto the next zone.
 #[test]
-fn nodes_do_not_spill_as_one() {
+fn nodes_do_not_spill_over_in_step() {
     let first_spill = |seed| {
         let mut node = node(seed, many(), listed([5.0, 0.2, 0.2]));
         serve(&mut node, 20, [5.0, 0.2, 0.2], 50 * MS).iter().position(|to| zone(to) == 1)
@@ -73,12 +73,12 @@
 
 /// The busiest server had 13 times the mean: every node took the few that a late list showed as free.
 #[test]
-fn nodes_do_not_herd_onto_what_a_late_list_shows_as_free() {
+fn nodes_do_not_herd_onto_a_backend_that_a_stale_list_shows_as_idle() {
     let members: Vec<Member> =
         (0..30).map(|b| Member { weight: if b == 3 { 1.0 } else { 0.25 }, ..member(b, b / 10) }).collect();
     let to_free = (0..200).filter(|&seed| {
         let mut node = node(seed, many(), members.clone());
-        sent(&node.ask(SECOND).1) == Some(BackendId(3))
+        first_send(&node.request(SECOND).1) == Some(BackendId(3))
     });
     let to_free = to_free.count();
     assert!((10..60).contains(&to_free), "{to_free} of 200 nodes chose the free one of ten");
@@ -86,7 +86,7 @@
 
 /// Portal at full size: 2,000 refused connections in 5 s, as every node opened one to every server.
 #[test]
-fn a_node_keeps_to_a_subset_and_widens_it_on_failure() {
+fn a_node_uses_a_subset_of_backends_and_others_when_the_subset_fails() {
     let distinct = |used: &[BackendId]| {
         let mut seen: Vec<u32> = used.iter().map(|to| to.0).collect();
         seen.sort_unstable();
@@ -99,12 +99,12 @@
     // None of the subset takes a connection: the request still finds a backend, once each has been tried.
     let mut widened = false;
     for _ in 0..10 {
-        let (request, actions) = node.ask(SECOND);
-        let (mut to, mut attempt) = (sent(&actions), 0);
+        let (request, actions) = node.request(SECOND);
+        let (mut to, mut attempt) = (first_send(&actions), 0);
         while let Some(tried) = to {
             widened |= !subset.contains(&tried.0);
             let failed = if subset.contains(&tried.0) { Outcome::ConnectFailed } else { Outcome::Served };
-            to = sent(&node.settle_after(request, attempt, failed, MS, LoadReport::default()));
+            to = first_send(&node.end_attempt_after(request, attempt, failed, MS, LoadReport::default()));
             attempt += 1;
         }
     }
@@ -113,12 +113,12 @@
 
 /// A full table of connections was taken for ill health and ejected for seconds.
 #[test]
-fn a_refused_connection_is_no_outlier_where_nodes_are_many() {
+fn a_refused_connection_ejects_no_backend_with_many_nodes() {
     let mut node = node(5, many(), listed([0.5; 3]));
     let mut logs = 0;
     for _ in 0..40 {
-        let (request, _) = node.ask(SECOND);
-        let actions = node.settle_after(request, 0, Outcome::ConnectFailed, MS, LoadReport::default());
+        let (request, _) = node.request(SECOND);
+        let actions = node.end_attempt_after(request, 0, Outcome::ConnectFailed, MS, LoadReport::default());
         logs +=
             actions.iter().filter(|action| matches!(action, Action::Log(LogEvent::Ejected { .. }))).count();
         node.now += SECOND;
@@ -128,38 +128,38 @@
 
 /// Jitter of arrivals made first tries look like repeats bound by the deadline: a third was refused.
 #[test]
-fn a_try_a_little_shorter_than_others_is_taken() {
+fn a_try_with_slightly_less_time_than_others_is_admitted() {
     let mut node = node(3, many(), listed([0.5; 3]));
     for turn in 0..40 {
-        let (request, actions) = node.ask(500 * MS - (turn % 7) * MS);
-        assert!(sent(&actions).is_some(), "turn {turn}");
+        let (request, actions) = node.request(500 * MS - (turn % 7) * MS);
+        assert!(first_send(&actions).is_some(), "turn {turn}");
         node.now += 50 * MS;
-        node.settle_after(request, 0, Outcome::Served, 50 * MS, LoadReport::default());
+        node.end_attempt_after(request, 0, Outcome::Served, 50 * MS, LoadReport::default());
         node.now += 400 * MS;
     }
 }
 
 /// Repeats past the aim of the first try kept jams alive: serving them is worth nothing.
 #[test]
-fn a_repeat_past_its_aim_is_refused_where_late_answers_are_worth_nothing() {
+fn a_retry_past_its_latency_target_is_rejected_if_late_responses_have_no_value() {
     let mut node = node(3, many(), listed([0.5; 3]));
-    let (request, _) = node.ask(800 * MS);
-    node.settle(request, 0, Outcome::Served, LoadReport::default());
+    let (request, _) = node.request(800 * MS);
+    node.end_attempt(request, 0, Outcome::Served, LoadReport::default());
     // The deadline is 1 s and the aim 400 ms: a try with 300 ms left began 700 ms ago.
-    let (_, actions) = node.ask(300 * MS);
-    assert!(sent(&actions).is_none() && refused(&actions));
+    let (_, actions) = node.request(300 * MS);
+    assert!(first_send(&actions).is_none() && rejected(&actions));
 }
 
 /// A class that had not been asked for of late found nothing left of a rounded sum.
 #[test]
-fn a_class_not_asked_for_of_late_is_taken() {
-    let mut given = many();
-    given.classes.push(class(400, 1000, Idempotency::Idempotent));
-    let mut node = node(3, given, listed([0.5; 3]));
+fn a_class_without_recent_requests_is_admitted() {
+    let mut config = many();
+    config.classes.push(class(400, 1000, Idempotency::Idempotent));
+    let mut node = node(3, config, listed([0.5; 3]));
     serve(&mut node, 10, [0.5; 3], 50 * MS);
     let (request, class) = (RequestId(9_999), ClassId(1));
     let not_after = node.now + SECOND;
-    let actions = node.tell(Event::Request(Arrival {
+    let actions = node.handle(Event::Request(Arrival {
         request,
         class,
         cost_hint: None,
@@ -167,21 +167,21 @@
         tenant: None,
         not_after,
     }));
-    assert!(sent(&actions).is_some());
+    assert!(first_send(&actions).is_some());
 }
 
 /// With discovery down, a burst met a frozen share: nine in ten attempts timed out.
 #[test]
-fn own_time_outs_throttle_without_a_list_and_let_go_afterwards() {
+fn timeouts_lower_the_concurrency_limit_without_a_list_and_successes_raise_it_again() {
     let mut node = node(3, many(), listed([0.5; 3]));
     let run = |node: &mut Node, count: usize, outcome| {
         let mut taken = 0;
         for _ in 0..count {
-            let (request, actions) = node.ask(SECOND);
+            let (request, actions) = node.request(SECOND);
             node.now += 100 * MS;
-            if sent(&actions).is_some() {
+            if first_send(&actions).is_some() {
                 taken += 1;
-                node.settle_after(request, 0, outcome, 100 * MS, LoadReport::default());
+                node.end_attempt_after(request, 0, outcome, 100 * MS, LoadReport::default());
             }
             node.now += 100 * MS;
         }
@@ -199,11 +199,11 @@
 
 /// Servers worked on what was already past its aim; with few nodes the repeats would cost more.
 #[test]
-fn attempts_end_at_a_worthless_aim_only_where_nodes_are_many() {
+fn attempts_time_out_at_the_latency_target_only_with_many_nodes() {
     let timeout = |nodes| {
-        let given = Settings { node_count: nodes, ..many() };
-        let mut node = node(3, given, listed([0.5; 3]));
-        node.ask(SECOND).1.iter().find_map(|action| match action {
+        let config = Settings { node_count: nodes, ..many() };
+        let mut node = node(3, config, listed([0.5; 3]));
+        node.request(SECOND).1.iter().find_map(|action| match action {
             Action::Send { timeout, .. } => Some(*timeout),
             _ => None,
         })
@@ -214,15 +214,15 @@
 
 /// One send of each node a span was let through: at a thousand nodes more than a cold backend bears.
 #[test]
-fn many_nodes_together_keep_the_cold_budget() {
+fn many_nodes_together_keep_the_slow_start_budget() {
     let mut to_cold = 0;
     for seed in 0..u64::from(NODES / 3) {
         let mut node = node(seed, many(), listed([0.5; 3]));
         serve(&mut node, 10, [0.5; 3], 50 * MS);
         let cold = Member { online_since: Some(node.now), ..member(3, 0) };
-        node.list(ListScope::Changes, vec![cold]);
+        node.update_list(ListScope::Changes, vec![cold]);
         for _ in 0..4 {
-            to_cold += usize::from(sent(&node.ask(SECOND).1) == Some(BackendId(3)));
+            to_cold += usize::from(first_send(&node.request(SECOND).1) == Some(BackendId(3)));
             node.now += SECOND / 2;
         }
     }
@@ -233,16 +233,16 @@
 
 /// A node that had just started took 5% after its first list: it had counted no arrivals yet.
 #[test]
-fn a_node_that_has_just_started_does_not_shed_all_on_its_first_list() {
+fn a_node_that_has_just_started_does_not_shed_all_load_on_its_first_list() {
     let taken = (0..100).filter(|&seed| {
         let mut node = node(seed, many(), listed([6.0; 3]));
-        let (request, _) = node.ask(SECOND);
+        let (request, _) = node.request(SECOND);
         node.now += 50 * MS;
-        node.settle_after(request, 0, Outcome::Served, 50 * MS, LoadReport::default());
+        node.end_attempt_after(request, 0, Outcome::Served, 50 * MS, LoadReport::default());
         node.now += 100 * MS;
-        node.ask(SECOND);
+        node.request(SECOND);
         node.now += 200 * MS;
-        sent(&node.ask(SECOND).1).is_some()
+        first_send(&node.request(SECOND).1).is_some()
     });
     let taken = taken.count();
     assert!(taken > 60, "{taken} of 100");
@@ -250,16 +250,16 @@
 
 /// A tenant at several times its usual traffic crowded out all others.
 #[test]
-fn a_flooding_tenant_is_turned_away_first() {
+fn a_tenant_over_its_quota_is_rejected_first() {
     // Five requests a second come to each node; three a second of tenant 0 are within its part.
     let quota = 3.0 * f64::from(NODES);
-    let given = Settings { tenant_quotas: vec![quota, quota], over_quota_value: 0.1, ..many() };
-    let mut node = node(3, given, listed([9.0; 3]));
+    let config = Settings { tenant_quotas: vec![quota, quota], over_quota_value: 0.1, ..many() };
+    let mut node = node(3, config, listed([9.0; 3]));
     let mut taken = [0, 0];
     let mut asked = [0, 0];
     for turn in 0..600u64 {
         if turn % 10 == 0 {
-            node.list(ListScope::Full, listed([9.0; 3]));
+            node.update_list(ListScope::Full, listed([9.0; 3]));
         }
         let tenant = u32::from(turn % 6 == 0);
         let request = RequestId(10_000 + turn);
@@ -272,12 +272,12 @@
             tenant: Some(tenant),
             not_after,
         };
-        let actions = node.tell(Event::Request(arrival));
+        let actions = node.handle(Event::Request(arrival));
         asked[tenant as usize] += 1;
         node.now += 50 * MS;
-        if sent(&actions).is_some() {
+        if first_send(&actions).is_some() {
             taken[tenant as usize] += 1;
-            node.settle_after(request, 0, Outcome::Served, 50 * MS, LoadReport::default());
+            node.end_attempt_after(request, 0, Outcome::Served, 50 * MS, LoadReport::default());
         }
         node.now += 50 * MS;
     }
@@ -287,38 +287,38 @@
 
 /// Incident i58b577: in a jam nearly nothing was served, so that new servers, the way out, got nearly nothing.
 #[test]
-fn a_jam_does_not_take_the_budget_of_new_servers() {
-    let given = Settings { node_count: 3, ..settings(Idempotency::Idempotent) };
-    let mut node = Node::new(given, (0..3).map(|b| member(b, 0)).collect());
+fn an_overload_does_not_reduce_the_slow_start_budget_of_new_backends() {
+    let config = Settings { node_count: 3, ..settings(Idempotency::Idempotent) };
+    let mut node = Node::new(config, (0..3).map(|b| member(b, 0)).collect());
     node.now += 60 * SECOND;
     node.serve(300, |_| util(0.5));
     for _ in 0..60 {
-        let (request, actions) = node.ask(SECOND);
-        node.pass(100 * MS);
-        if sent(&actions).is_some() {
-            node.settle_after(request, 0, Outcome::TimedOut, 100 * MS, util(1.0));
+        let (request, actions) = node.request(SECOND);
+        node.advance(100 * MS);
+        if first_send(&actions).is_some() {
+            node.end_attempt_after(request, 0, Outcome::TimedOut, 100 * MS, util(1.0));
         }
     }
-    node.list(
+    node.update_list(
         ListScope::Changes,
         vec![Member { online_since: Some(node.now - 15 * SECOND), ..member(9, 0) }],
     );
-    let to_new = (0..40).filter(|_| sent(&node.ask(SECOND).1) == Some(BackendId(9))).count();
+    let to_new = (0..40).filter(|_| first_send(&node.request(SECOND).1) == Some(BackendId(9))).count();
     assert!(to_new >= 3, "{to_new} to the new server");
 }
 
 /// Where load reports come by probe only, no capacity was ever measured: after a release 36 cold servers of
 /// 60 got three requests a second together, while the warm ones were overrun.
 #[test]
-fn a_cold_backend_is_used_where_no_load_is_reported() {
-    let given = Settings { node_count: 60, ..settings(Idempotency::Idempotent) };
+fn a_cold_backend_is_used_without_load_reports() {
+    let config = Settings { node_count: 60, ..settings(Idempotency::Idempotent) };
     let members: Vec<Member> = (0..30).map(|b| member(b, b / 10)).collect();
     let mut to_cold = 0;
     for seed in 0..20 {
-        let mut node = Node::seeded(seed, given.clone(), members.clone());
+        let mut node = Node::with_seed(seed, config.clone(), members.clone());
         node.serve(1000, |_| LoadReport::default());
         let cold = Member { online_since: Some(node.now), ..member(3, 0) };
-        node.list(ListScope::Changes, vec![cold]);
+        node.update_list(ListScope::Changes, vec![cold]);
         let used = node.serve(200, |_| LoadReport::default());
         to_cold += used.iter().filter(|to| to.0 == 3).count();
     }
@@ -330,19 +330,19 @@
 /// The own bound was a share of what was asked, and so counted its own refusals: two thirds were refused for
 /// many seconds after a jam, of servers that answered at once, and one late answer in a calm second cost some.
 #[test]
-fn the_own_bound_lets_go_soon_after_a_jam() {
-    let given = Settings { node_count: 60, ..settings(Idempotency::NonIdempotent) };
-    let mut node = Node::seeded(3, given, (0..30).map(|b| member(b, b / 10)).collect());
+fn the_concurrency_limit_recovers_soon_after_an_overload() {
+    let config = Settings { node_count: 60, ..settings(Idempotency::NonIdempotent) };
+    let mut node = Node::with_seed(3, config, (0..30).map(|b| member(b, b / 10)).collect());
     // Sixteen requests a second: of a second's, how many are sent.
     let mut second = |outcome: fn(usize) -> Outcome| {
         let sent_ones = (0..16).filter(|&turn| {
-            let (request, actions) = node.ask(SECOND);
-            node.pass(50 * MS);
-            let to = sent(&actions);
+            let (request, actions) = node.request(SECOND);
+            node.advance(50 * MS);
+            let to = first_send(&actions);
             if to.is_some() {
-                node.settle_after(request, 0, outcome(turn), 50 * MS, LoadReport::default());
+                node.end_attempt_after(request, 0, outcome(turn), 50 * MS, LoadReport::default());
             }
-            node.pass(10 * MS);
+            node.advance(10 * MS);
             to.is_some()
         });
         sent_ones.count()
@@ -365,22 +365,22 @@
 /// Whatever a node held nothing on was sent to, however slow it had just been: seven nodes that do so keep a
 /// jammed server jammed, while the others of their subset had room.
 #[test]
-fn a_backend_that_was_just_slow_is_left_alone_where_nodes_are_many() {
-    let given = Settings { node_count: 60, ..settings(Idempotency::NonIdempotent) };
-    let mut node = Node::seeded(3, given, (0..30).map(|b| member(b, b / 10)).collect());
+fn a_backend_that_was_just_slow_is_avoided_with_many_nodes() {
+    let config = Settings { node_count: 60, ..settings(Idempotency::NonIdempotent) };
+    let mut node = Node::with_seed(3, config, (0..30).map(|b| member(b, b / 10)).collect());
     let mut slow_one = None;
     let mut used = [0, 0];
     for turn in 0..1200 {
-        let (request, actions) = node.ask(SECOND);
-        let Some(to) = sent(&actions) else { continue };
+        let (request, actions) = node.request(SECOND);
+        let Some(to) = first_send(&actions) else { continue };
         // One turns ten times slower after 10 s.
         if turn >= 200 && slow_one.is_none() {
             slow_one = Some(to);
         }
         let took = if slow_one == Some(to) { 400 * MS } else { 40 * MS };
         used[usize::from(slow_one == Some(to))] += usize::from(turn > 300);
-        node.settle_after(request, 0, Outcome::Served, took, LoadReport::default());
-        node.pass(50 * MS);
+        node.end_attempt_after(request, 0, Outcome::Served, took, LoadReport::default());
+        node.advance(50 * MS);
     }
     // In 45 s one trial of each of these eight nodes in 2.4 s.
     assert!((5..25).contains(&used[1]), "{used:?} sent to the others and the slow one");
@@ -390,17 +390,17 @@
 /// Sends to the fifteen backends of a home zone in the 4 s after it has come back cold, by its thirty nodes of
 /// sixteen requests a second. A cold backend answers after `took`, all others after 40 ms.
 fn sent_to_a_cold_home(took: Nanos) -> usize {
-    let given = Settings { node_count: 60, zone_count: 2, ..settings(Idempotency::NonIdempotent) };
+    let config = Settings { node_count: 60, zone_count: 2, ..settings(Idempotency::NonIdempotent) };
     let home = |since| (0..15).map(|b| Member { online_since: since, ..member(b, 0) }).collect::<Vec<_>>();
     let gone = || (0..15).map(|b| Member { stage: Stage::Gone, ..member(b, 0) }).collect::<Vec<_>>();
     let at_home = |to: BackendId| to.0 < 15;
     let seconds = |node: &mut Node, seconds: usize, took: Nanos| {
         let one = |node: &mut Node| {
-            let (request, actions) = node.ask(SECOND);
-            let to = sent(&actions)?;
+            let (request, actions) = node.request(SECOND);
+            let to = first_send(&actions)?;
             let took = if at_home(to) { took } else { 40 * MS };
             node.now += took;
-            node.settle_after(request, 0, Outcome::Served, took, LoadReport::default());
+            node.end_attempt_after(request, 0, Outcome::Served, took, LoadReport::default());
             Some(to)
         };
         let mut to_home = 0;
@@ -413,13 +413,13 @@
     };
     let mut to_home = 0;
     for seed in 0..30 {
-        let mut node = Node::seeded(seed, given.clone(), home(None));
-        node.list(ListScope::Changes, (15..30).map(|b| member(b, 1)).collect());
+        let mut node = Node::with_seed(seed, config.clone(), home(None));
+        node.update_list(ListScope::Changes, (15..30).map(|b| member(b, 1)).collect());
         seconds(&mut node, 20, 40 * MS);
-        node.list(ListScope::Changes, gone());
+        node.update_list(ListScope::Changes, gone());
         seconds(&mut node, 120, 40 * MS);
         let since = Some(node.now - 4 * SECOND);
-        node.list(ListScope::Changes, home(since));
+        node.update_list(ListScope::Changes, home(since));
         to_home += seconds(&mut node, 4, took);
     }
     to_home
@@ -428,7 +428,7 @@
 /// A zone that came back cold was starved: what its servers carry was taken from the little served there last,
 /// which sank while it was gone, and they were held to be as slow as they were cold.
 #[test]
-fn a_zone_that_comes_back_cold_is_used() {
+fn a_zone_that_returns_cold_is_used() {
     // One request at a time at 30% to 45% of warmth: 9 a second each, and three times that is the limit.
     let to_home = sent_to_a_cold_home(100 * MS);
     assert!((270..1600).contains(&to_home), "{to_home} of 1920 to the home that is back");
@@ -436,7 +436,7 @@
 
 /// A cold backend that answered at once was sent no more than one that answered as slowly as it might.
 #[test]
-fn a_cold_backend_that_proves_itself_is_sent_more() {
+fn a_cold_backend_that_responds_fast_gets_more_requests() {
     let (slow, prompt) = (sent_to_a_cold_home(110 * MS), sent_to_a_cold_home(45 * MS));
     assert!(prompt as f64 > 1.3 * slow as f64, "{prompt} to prompt ones, {slow} to slow ones");
     assert!(prompt < 1600, "{prompt} to prompt ones");
@@ -445,16 +445,16 @@
 /// In a jam 45% of the arrivals were clients' further tries. What was past its aim by then, and worth a fifth,
 /// took the room of first tries.
 #[test]
-fn a_further_try_past_its_aim_makes_room_for_first_tries_in_a_jam() {
-    let mut given = Settings { node_count: 60, ..settings(Idempotency::NonIdempotent) };
-    given.classes[0].late_value_share = 0.2;
-    let mut node = Node::seeded(3, given, (0..30).map(|b| member(b, b / 10)).collect());
+fn a_retry_past_its_latency_target_yields_to_first_tries_under_overload() {
+    let mut config = Settings { node_count: 60, ..settings(Idempotency::NonIdempotent) };
+    config.classes[0].late_value_share = 0.2;
+    let mut node = Node::with_seed(3, config, (0..30).map(|b| member(b, b / 10)).collect());
     let taken = |node: &mut Node, wait: Nanos, outcome: Outcome| {
-        let (request, actions) = node.ask(wait);
-        node.pass(60 * MS);
-        let to = sent(&actions);
+        let (request, actions) = node.request(wait);
+        node.advance(60 * MS);
+        let to = first_send(&actions);
         if to.is_some() {
-            node.settle_after(request, 0, outcome, 60 * MS, LoadReport::default());
+            node.end_attempt_after(request, 0, outcome, 60 * MS, LoadReport::default());
         }
         usize::from(to.is_some())
     };
@@ -464,7 +464,7 @@
     assert!(calm >= 39 && calm_again >= 39, "{calm} and {calm_again} of 40 while there is room");
     (0..4).for_each(|_| {
         taken(&mut node, SECOND, Outcome::Full);
-        node.pass(SECOND);
+        node.advance(SECOND);
     });
     let (mut first, mut further) = (0, 0);
     for turn in 0..60 {
@@ -476,19 +476,19 @@
 
 /// The own bound went by the client's time: a further try answered in 60 ms, but too late for it, closed it.
 #[test]
-fn what_a_client_has_no_time_left_for_is_no_sign_of_busy_servers() {
-    let mut given = Settings { node_count: 60, ..settings(Idempotency::NonIdempotent) };
-    given.classes[0].late_value_share = 0.2;
-    let mut node = Node::seeded(3, given, (0..30).map(|b| member(b, b / 10)).collect());
+fn a_response_too_late_for_a_short_retry_does_not_lower_the_concurrency_limit() {
+    let mut config = Settings { node_count: 60, ..settings(Idempotency::NonIdempotent) };
+    config.classes[0].late_value_share = 0.2;
+    let mut node = Node::with_seed(3, config, (0..30).map(|b| member(b, b / 10)).collect());
     let mut taken = 0;
     for turn in 0..160 {
         // Every other one is a further try with 40 ms left of its aim.
         let wait = if turn % 2 == 0 { SECOND } else { 640 * MS };
-        let (request, actions) = node.ask(wait);
+        let (request, actions) = node.request(wait);
         node.now += 60 * MS;
-        if sent(&actions).is_some() {
+        if first_send(&actions).is_some() {
             taken += usize::from(turn % 2 == 0);
-            node.settle_after(request, 0, Outcome::Served, 60 * MS, LoadReport::default());
+            node.end_attempt_after(request, 0, Outcome::Served, 60 * MS, LoadReport::default());
         }
     }
     assert!(taken >= 78, "{taken} of 80 first tries taken");
@@ -497,16 +497,16 @@
 /// A zone that had gone silent was tried server by server, all of home: connects that never come up only put
 /// off the next try, and a dead subset led on to the rest of its zone.
 #[test]
-fn a_silent_zone_is_left_for_another_one() {
-    let given = Settings { node_count: 40, zone_count: 2, ..settings(Idempotency::NonIdempotent) };
-    let mut node = Node::seeded(3, given, (0..40).map(|b| member(b, b / 20)).collect());
+fn an_unresponsive_zone_is_left_for_another_one() {
+    let config = Settings { node_count: 40, zone_count: 2, ..settings(Idempotency::NonIdempotent) };
+    let mut node = Node::with_seed(3, config, (0..40).map(|b| member(b, b / 20)).collect());
     node.now += SECOND;
     let mut tried = std::collections::BTreeSet::new();
     let (mut to_home, mut served) = (0, 0);
     for _ in 0..320 {
-        let (request, actions) = node.ask(SECOND);
+        let (request, actions) = node.request(SECOND);
         node.now += 60 * MS;
-        let (mut to, mut attempt) = (sent(&actions), 0);
+        let (mut to, mut attempt) = (first_send(&actions), 0);
         while let Some(backend) = to {
             let (outcome, took) = if backend.0 < 20 {
                 to_home += 1;
@@ -516,7 +516,7 @@
                 served += 1;
                 (Outcome::Served, 40 * MS)
             };
-            to = sent(&node.settle_after(request, attempt, outcome, took, LoadReport::default()));
+            to = first_send(&node.end_attempt_after(request, attempt, outcome, took, LoadReport::default()));
             attempt += 1;
         }
     }
@@ -527,16 +527,16 @@
 /// A release of 300 nodes' clients, all of which nobody answers: what was refused came again, and a bound by the
 /// share of the arrivals sent the more the more came. Servers held ten requests a core and turned slow for good.
 #[test]
-fn arrivals_that_come_again_send_no_more_to_servers_that_do_not_answer() {
+fn client_retries_do_not_raise_the_load_on_unresponsive_servers() {
     let members: Vec<Member> = (0..30).map(|b| member(b, b / 10)).collect();
     let mut node =
-        Node::seeded(3, Settings { node_count: NODES, ..settings(Idempotency::NonIdempotent) }, members);
+        Node::with_seed(3, Settings { node_count: NODES, ..settings(Idempotency::NonIdempotent) }, members);
     node.now += 10 * SECOND;
     let answers: Vec<(bool, bool)> = (0..200)
         .map(|_| {
-            let (_, actions) = node.ask(SECOND);
-            node.pass(5 * MS);
-            (sent(&actions).is_some(), refused(&actions))
+            let (_, actions) = node.request(SECOND);
+            node.advance(5 * MS);
+            (first_send(&actions).is_some(), rejected(&actions))
         })
         .collect();
     let out = answers.iter().filter(|answer| answer.0).count();
@@ -546,16 +546,16 @@
 
 /// Half of the clients came to the zone with a tenth of the servers; its nodes left it only once it was jammed.
 #[test]
-fn a_small_home_sends_its_excess_to_larger_zones() {
+fn a_small_home_zone_sends_its_excess_to_larger_zones() {
     let zone = |b: u32| if b < 3 { 0 } else { 1 + (b - 3) / 14 };
     let members: Vec<Member> = (0..31).map(|b| member(b, zone(b))).collect();
     let (mut home, mut away) = (0, 0);
     for seed in 0..50 {
-        let given = Settings { node_count: NODES, ..settings(Idempotency::NonIdempotent) };
-        let mut node = Node::seeded(seed, given, members.clone());
+        let config = Settings { node_count: NODES, ..settings(Idempotency::NonIdempotent) };
+        let mut node = Node::with_seed(seed, config, members.clone());
         node.now += 10 * SECOND;
         for _ in 0..4 {
-            match sent(&node.ask(SECOND).1) {
+            match first_send(&node.request(SECOND).1) {
                 Some(to) if zone(to.0) == 0 => home += 1,
                 Some(_) => away += 1,
                 None => {}
@@ -568,21 +568,21 @@
 /// Four servers of a lost zone were listed first: 137 of the 158 requests that pushed one of them over came from
 /// the nodes of the other zones, each of which spilled what a node of the zone itself might have sent.
 #[test]
-fn nodes_of_all_zones_together_keep_the_cold_budget() {
+fn nodes_of_all_zones_together_keep_the_slow_start_budget() {
     let mut to_cold = 0;
     for seed in 0..u64::from(NODES) {
         let home = ZoneId(seed as u32 % 3);
-        let given = Settings { home_zone: home, node_count: NODES, ..settings(Idempotency::NonIdempotent) };
+        let config = Settings { home_zone: home, node_count: NODES, ..settings(Idempotency::NonIdempotent) };
         let back = |b| Member { online_since: Some(50 * SECOND), ..member(b, 0) };
         let members = (0..30).map(|b| if b < 4 { back(b) } else { member(b, 1 + b % 2) }).collect();
-        let mut node = Node::seeded(seed, given, members);
+        let mut node = Node::with_seed(seed, config, members);
         node.now += 50 * SECOND;
         for _ in 0..8 {
             // All others have full tables of connections.
-            let (request, actions) = node.ask(SECOND);
-            let (mut to, mut attempt) = (sent(&actions), 0);
+            let (request, actions) = node.request(SECOND);
+            let (mut to, mut attempt) = (first_send(&actions), 0);
             while let Some(BackendId(4..)) = to {
-                to = sent(&node.settle_after(
+                to = first_send(&node.end_attempt_after(
                     request,
                     attempt,
                     Outcome::ConnectFailed,
@@ -601,22 +601,22 @@
 /// Windows stayed at two attempts where answers were as quick as ever, and a node's next three at once found no
 /// room: a sixth of all was refused by servers that were half idle.
 #[test]
-fn a_window_leaves_room_for_requests_that_come_together() {
-    let given = Settings { node_count: NODES, ..settings(Idempotency::NonIdempotent) };
-    let mut node = Node::seeded(3, given, (0..10).map(|b| member(b, 0)).collect());
+fn the_concurrency_limit_allows_a_small_burst() {
+    let config = Settings { node_count: NODES, ..settings(Idempotency::NonIdempotent) };
+    let mut node = Node::with_seed(3, config, (0..10).map(|b| member(b, 0)).collect());
     node.now += 10 * SECOND;
     let mut singly = |outcome, count| {
         for _ in 0..count {
-            let (request, actions) = node.ask(SECOND);
-            node.pass(50 * MS);
-            if sent(&actions).is_some() {
-                node.settle_after(request, 0, outcome, 50 * MS, LoadReport::default());
+            let (request, actions) = node.request(SECOND);
+            node.advance(50 * MS);
+            if first_send(&actions).is_some() {
+                node.end_attempt_after(request, 0, outcome, 50 * MS, LoadReport::default());
             }
-            node.pass(50 * MS);
+            node.advance(50 * MS);
         }
     };
     singly(Outcome::TimedOut, 40);
     singly(Outcome::Served, 200);
-    let together = (0..4).filter(|_| sent(&node.ask(SECOND).1).is_some()).count();
+    let together = (0..4).filter(|_| first_send(&node.request(SECOND).1).is_some()).count();
     assert_eq!(together, 4, "sent of four at once");
 }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn the_lines_of_decisions_stay_readable() {
+fn policy_files_have_no_overlong_lines() {
     let texts: Vec<String> = deploy().policy.iter().map(read).collect();
     assert!(texts.iter().all(|text| !text.trim().is_empty()), "a file under policy holds no line");
     let widest = texts.iter().flat_map(|text| text.lines()).map(|line| line.chars().count()).max();
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn the_deploy_file_names_every_module_that_decides() {
+fn the_deploy_file_lists_every_policy_module() {
     let deploy = deploy();
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
     let files =
--- a/tests/slow_start/fleet.rs
+++ b/tests/slow_start/fleet.rs
@@ -12,17 +12,17 @@
 /// Work of a request on a warm server.
 const WORK: Nanos = 25 * MS;
 /// A server that holds so many requests turns further ones away.
-const MOST_HELD: usize = 24;
+const MAX_HELD: usize = 24;
 const DEADLINE: Nanos = 500 * MS;
 /// Tries of one client, and the time from a failed one to the next.
-const TRIES: u32 = 4;
-const RETRY_AFTER: Nanos = 5 * MS;
+const MAX_TRIES: u32 = 4;
+const RETRY_DELAY: Nanos = 5 * MS;
 const WARM_UP: Nanos = 8 * SECOND;
-const END: Nanos = 24 * SECOND;
+const DURATION: Nanos = 24 * SECOND;
 
 /// What is played.
 #[derive(Clone, Copy, Debug)]
-pub struct Shape {
+pub struct Scenario {
     pub nodes: u32,
     pub zones: u32,
     pub servers: u32,
@@ -30,20 +30,20 @@
     pub load: f64,
     pub burst: f64,
     /// Share of the servers that crash; a whole zone's first.
-    pub crashed: f64,
+    pub crashed_share: f64,
     /// Time from one server's return to the next one's.
-    pub step: Nanos,
+    pub restart_interval: Nanos,
     /// Time from a server's return until the list tells it.
-    pub notice: Nanos,
+    pub discovery_delay: Nanos,
     /// Answers carry the server's utilisation, with this relative error.
-    pub reports: Option<f64>,
+    pub report_error: Option<f64>,
     /// How unevenly clients are spread over the nodes, 0 to 1; they move to other nodes every 2 s.
     pub skew: f64,
     pub overload_factor: f64,
     pub initial_capacity: f64,
 }
 
-impl Default for Shape {
+impl Default for Scenario {
     fn default() -> Self {
         Self {
             nodes: 32,
@@ -51,10 +51,10 @@
             servers: 12,
             load: 0.9,
             burst: 1.8,
-            crashed: 0.34,
-            step: 700 * MS,
-            notice: 3500 * MS,
-            reports: None,
+            crashed_share: 0.34,
+            restart_interval: 700 * MS,
+            discovery_delay: 3500 * MS,
+            report_error: None,
             skew: 0.5,
             overload_factor: 2.0,
             initial_capacity: 0.15,
@@ -62,24 +62,24 @@
     }
 }
 
-impl Shape {
-    pub fn drawn(seed: u64) -> Self {
-        let mut random = Random(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ 0x5a5a);
-        let zones = 1 + random.below(12);
-        let nodes = (zones * (1 + random.below(10))).min(90);
+impl Scenario {
+    pub fn random(seed: u64) -> Self {
+        let mut rng = Rng(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ 0x5a5a);
+        let zones = 1 + rng.below(12);
+        let nodes = (zones * (1 + rng.below(10))).min(90);
         Self {
             nodes,
             zones,
-            servers: zones.max(4) + random.below(2 * zones + 6),
-            load: random.between(0.3, 1.1),
-            burst: random.between(1.0, 2.5),
-            crashed: random.between(0.1, 0.6),
-            step: random.below(1500) as Nanos * MS,
-            notice: random.below(4000) as Nanos * MS,
-            reports: (random.below(2) == 0).then(|| random.between(0.0, 0.3)),
-            skew: random.between(0.0, 1.0),
-            overload_factor: random.between(1.5, 3.0),
-            initial_capacity: random.between(0.1, 0.4),
+            servers: zones.max(4) + rng.below(2 * zones + 6),
+            load: rng.between(0.3, 1.1),
+            burst: rng.between(1.0, 2.5),
+            crashed_share: rng.between(0.1, 0.6),
+            restart_interval: rng.below(1500) as Nanos * MS,
+            discovery_delay: rng.below(4000) as Nanos * MS,
+            report_error: (rng.below(2) == 0).then(|| rng.between(0.0, 0.3)),
+            skew: rng.between(0.0, 1.0),
+            overload_factor: rng.between(1.5, 3.0),
+            initial_capacity: rng.between(0.1, 0.4),
         }
     }
 }
@@ -94,9 +94,9 @@
     pub allowed: f64,
 }
 
-pub struct Random(pub u64);
+pub struct Rng(pub u64);
 
-impl Random {
+impl Rng {
     fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let z = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -118,10 +118,10 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Happening {
+enum SimEvent {
     Arrival,
     Retry { node: usize, not_after: Nanos, tries: u32 },
-    Answer { node: usize, request: RequestId, attempt: u32, outcome: Served },
+    Answer { node: usize, request: RequestId, attempt: u32, outcome: ServerResult },
     Timer { node: usize, token: u64 },
     Crash { server: usize },
     Gone { server: usize },
@@ -130,19 +130,19 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Served {
-    Yes,
-    TurnedAway,
-    Refused,
+enum ServerResult {
+    Served,
+    Rejected,
+    ConnectionRefused,
     TimedOut,
 }
 
-impl Served {
+impl ServerResult {
     fn outcome(self) -> Outcome {
         match self {
-            Self::Yes => Outcome::Served,
-            Self::TurnedAway => Outcome::Full,
-            Self::Refused => Outcome::ConnectFailed,
+            Self::Served => Outcome::Served,
+            Self::Rejected => Outcome::Full,
+            Self::ConnectionRefused => Outcome::ConnectFailed,
             Self::TimedOut => Outcome::TimedOut,
         }
     }
@@ -153,10 +153,10 @@
     up: bool,
     listed: bool,
     since: Option<Nanos>,
-    ends: VecDeque<Nanos>,
+    completions: VecDeque<Nanos>,
     busy_until: Nanos,
-    used: f64,
-    used_at: Nanos,
+    utilisation: f64,
+    utilisation_at: Nanos,
     received: VecDeque<Nanos>,
 }
 
@@ -171,36 +171,36 @@
 struct Node {
     balancer: Balancer,
     pending: BTreeMap<RequestId, Pending>,
-    next: u64,
+    next_id: u64,
 }
 
 pub struct Fleet {
-    shape: Shape,
+    scenario: Scenario,
     rules: RuleParameters,
     now: Nanos,
-    order: u64,
-    random: Random,
+    sequence: u64,
+    rng: Rng,
     nodes: Vec<Node>,
     weights: Vec<f64>,
     weights_at: Nanos,
     servers: Vec<Server>,
-    happenings: BinaryHeap<Reverse<(Nanos, u64, Happening)>>,
+    events: BinaryHeap<Reverse<(Nanos, u64, SimEvent)>>,
     worst: Option<Overload>,
 }
 
 impl Fleet {
-    pub fn new(shape: Shape, seed: u64) -> Self {
-        let mut random = Random(seed ^ 0xc01d);
-        let servers: Vec<Server> = (0..shape.servers)
+    pub fn new(scenario: Scenario, seed: u64) -> Self {
+        let mut rng = Rng(seed ^ 0xc01d);
+        let servers: Vec<Server> = (0..scenario.servers)
             .map(|number| Server {
-                zone: number % shape.zones,
+                zone: number % scenario.zones,
                 up: true,
                 listed: true,
                 since: None,
-                ends: VecDeque::new(),
+                completions: VecDeque::new(),
                 busy_until: 0,
-                used: 0.0,
-                used_at: 0,
+                utilisation: 0.0,
+                utilisation_at: 0,
                 received: VecDeque::new(),
             })
             .collect();
@@ -211,69 +211,71 @@
                 idempotency: Idempotency::Keyed { group: DedupGroup::All, window: DEADLINE },
                 ..ClassSettings::default()
             };
-            let mut settings = Settings::new(ZoneId(node % shape.zones), shape.zones);
-            (settings.node_count, settings.classes) = (shape.nodes, vec![class]);
-            settings.rules.overload_factor = shape.overload_factor;
-            settings.rules.initial_capacity = shape.initial_capacity;
+            let mut settings = Settings::new(ZoneId(node % scenario.zones), scenario.zones);
+            (settings.node_count, settings.classes) = (scenario.nodes, vec![class]);
+            settings.rules.overload_factor = scenario.overload_factor;
+            settings.rules.initial_capacity = scenario.initial_capacity;
             settings.rules.slow_start_window = 22 * SECOND;
             settings.rules.overload_window = 1500 * MS;
             settings
         };
-        let nodes = (0..shape.nodes).map(|node| Node {
-            balancer: Balancer::new(settings(node), random.next(), 0).expect("usable settings"),
+        let nodes = (0..scenario.nodes).map(|node| Node {
+            balancer: Balancer::new(settings(node), rng.next(), 0).expect("usable settings"),
             pending: BTreeMap::new(),
-            next: 0,
+            next_id: 0,
         });
         let mut fleet = Self {
-            shape,
+            scenario,
             rules: settings(0).rules,
             now: 0,
-            order: 0,
+            sequence: 0,
             nodes: nodes.collect(),
-            random,
+            rng,
             weights: Vec::new(),
             weights_at: 0,
             servers,
-            happenings: BinaryHeap::new(),
+            events: BinaryHeap::new(),
             worst: None,
         };
         for node in 0..fleet.nodes.len() {
-            fleet.tell(node, Event::Start);
+            fleet.handle(node, Event::Start);
         }
-        fleet.publish();
-        fleet.plan_crash();
-        fleet.at(1, Happening::Arrival);
+        fleet.publish_list();
+        fleet.schedule_crashes();
+        fleet.schedule(1, SimEvent::Arrival);
         fleet
     }
 
     /// Servers of the same zones crash together, and come back one after the other.
-    fn plan_crash(&mut self) {
+    fn schedule_crashes(&mut self) {
         let mut order: Vec<usize> = (0..self.servers.len()).collect();
-        let first = self.random.below(self.shape.zones);
-        order
-            .sort_by_key(|&server| (self.servers[server].zone + self.shape.zones - first) % self.shape.zones);
-        let count = ((self.shape.crashed * order.len() as f64).ceil() as usize).clamp(1, order.len());
+        let first = self.rng.below(self.scenario.zones);
+        order.sort_by_key(|&server| {
+            (self.servers[server].zone + self.scenario.zones - first) % self.scenario.zones
+        });
+        let count =
+            ((self.scenario.crashed_share * order.len() as f64).ceil() as usize).clamp(1, order.len());
         for (turn, &server) in order[..count].iter().enumerate() {
-            self.at(WARM_UP, Happening::Crash { server });
-            self.at(WARM_UP + SECOND, Happening::Gone { server });
-            let back = WARM_UP + 2 * SECOND + turn as Nanos * self.shape.step;
-            self.at(back, Happening::Return { server });
-            self.at(back + self.shape.notice, Happening::Listed { server });
+            self.schedule(WARM_UP, SimEvent::Crash { server });
+            self.schedule(WARM_UP + SECOND, SimEvent::Gone { server });
+            let back = WARM_UP + 2 * SECOND + turn as Nanos * self.scenario.restart_interval;
+            self.schedule(back, SimEvent::Return { server });
+            self.schedule(back + self.scenario.discovery_delay, SimEvent::Listed { server });
         }
     }
 
-    fn at(&mut self, at: Nanos, happening: Happening) {
-        self.order += 1;
-        self.happenings.push(Reverse((at, self.order, happening)));
+    fn schedule(&mut self, at: Nanos, event: SimEvent) {
+        self.sequence += 1;
+        self.events.push(Reverse((at, self.sequence, event)));
     }
 
-    pub fn play(&mut self) {
-        while let Some(Reverse((at, _, happening))) = self.happenings.pop() {
-            if at > END {
+    pub fn run(&mut self) {
+        while let Some(Reverse((at, _, event))) = self.events.pop() {
+            if at > DURATION {
                 break;
             }
             self.now = at;
-            self.happen(happening);
+            self.process(event);
         }
     }
 
@@ -281,50 +283,50 @@
         self.worst
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Arrival => {
+    fn process(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::Arrival => {
                 let capacity = self.servers.len() as f64 * SECOND as f64 / WORK as f64;
-                let burst = if self.now > WARM_UP { self.shape.burst } else { 1.0 };
-                let rate = capacity * self.shape.load * burst;
-                let wait = -(1.0 - self.random.unit()).ln() / rate * SECOND as f64;
-                self.at(self.now + wait.max(1.0) as Nanos, Happening::Arrival);
-                let node = self.drawn_node();
-                self.ask(node, self.now + DEADLINE, 1);
+                let burst = if self.now > WARM_UP { self.scenario.burst } else { 1.0 };
+                let rate = capacity * self.scenario.load * burst;
+                let wait = -(1.0 - self.rng.unit()).ln() / rate * SECOND as f64;
+                self.schedule(self.now + wait.max(1.0) as Nanos, SimEvent::Arrival);
+                let node = self.random_node();
+                self.send_request(node, self.now + DEADLINE, 1);
             }
-            Happening::Retry { node, not_after, tries } => self.ask(node, not_after, tries),
-            Happening::Answer { node, request, attempt, outcome } => {
-                self.answer(node, request, attempt, outcome);
+            SimEvent::Retry { node, not_after, tries } => self.send_request(node, not_after, tries),
+            SimEvent::Answer { node, request, attempt, outcome } => {
+                self.on_attempt_ended(node, request, attempt, outcome);
             }
-            Happening::Timer { node, token } => self.tell(node, Event::Timer { token }),
-            Happening::Crash { server } => {
+            SimEvent::Timer { node, token } => self.handle(node, Event::Timer { token }),
+            SimEvent::Crash { server } => {
                 self.servers[server].up = false;
-                self.servers[server].ends.clear();
+                self.servers[server].completions.clear();
             }
-            Happening::Gone { server } => {
+            SimEvent::Gone { server } => {
                 self.servers[server].listed = false;
-                self.publish();
+                self.publish_list();
             }
-            Happening::Return { server } => {
+            SimEvent::Return { server } => {
                 let back = &mut self.servers[server];
                 (back.up, back.since, back.busy_until) = (true, Some(self.now), self.now);
             }
-            Happening::Listed { server } => {
+            SimEvent::Listed { server } => {
                 self.servers[server].listed = true;
-                self.publish();
+                self.publish_list();
             }
         }
     }
 
     /// Clients are spread unevenly over the nodes, and differently every 2 s.
-    fn drawn_node(&mut self) -> usize {
+    fn random_node(&mut self) -> usize {
         if self.weights.is_empty() || self.now >= self.weights_at + 2 * SECOND {
             self.weights_at = self.now;
-            let skew = self.shape.skew;
+            let skew = self.scenario.skew;
             self.weights =
-                (0..self.nodes.len()).map(|_| 1.0 - skew + skew * self.random.unit().powi(4) * 5.0).collect();
+                (0..self.nodes.len()).map(|_| 1.0 - skew + skew * self.rng.unit().powi(4) * 5.0).collect();
         }
-        let mut left = self.random.unit() * self.weights.iter().sum::<f64>();
+        let mut left = self.rng.unit() * self.weights.iter().sum::<f64>();
         for (node, weight) in self.weights.iter().enumerate() {
             left -= weight;
             if left <= 0.0 {
@@ -335,7 +337,7 @@
     }
 
     /// All nodes are told the list at once: every one of them knows what is cold.
-    fn publish(&mut self) {
+    fn publish_list(&mut self) {
         let member = |(number, server): (usize, &Server)| Member {
             backend: BackendId(number as u32),
             zone: ZoneId(server.zone),
@@ -346,24 +348,24 @@
         let listed = self.servers.iter().enumerate().filter(|(_, server)| server.listed);
         let members: Vec<Member> = listed.map(member).collect();
         for node in 0..self.nodes.len() {
-            self.tell(node, Event::BackendList { scope: ListScope::Full, members: members.clone() });
+            self.handle(node, Event::BackendList { scope: ListScope::Full, members: members.clone() });
         }
     }
 
-    fn ask(&mut self, node: usize, not_after: Nanos, tries: u32) {
+    fn send_request(&mut self, node: usize, not_after: Nanos, tries: u32) {
         if not_after <= self.now {
             return;
         }
-        let request = RequestId(self.nodes[node].next);
-        self.nodes[node].next += 1;
+        let request = RequestId(self.nodes[node].next_id);
+        self.nodes[node].next_id += 1;
         let pending = Pending { not_after, tries, attempts: Vec::new(), answered: false };
         self.nodes[node].pending.insert(request, pending);
         let arrival =
             Arrival { request, class: ClassId(0), cost_hint: None, is_retry: false, tenant: None, not_after };
-        self.tell(node, Event::Request(arrival));
+        self.handle(node, Event::Request(arrival));
     }
 
-    fn tell(&mut self, node: usize, event: Event) {
+    fn handle(&mut self, node: usize, event: Event) {
         let mut actions = Vec::new();
         self.nodes[node].balancer.handle(self.now, event, &mut actions);
         for action in actions {
@@ -371,19 +373,21 @@
                 Action::Send { request, backend, timeout, .. } => {
                     self.send(node, request, backend.0 as usize, timeout);
                 }
-                Action::Reject { request, .. } | Action::Fail { request } => self.refused(node, request),
-                Action::Timer { after, token } => self.at(self.now + after, Happening::Timer { node, token }),
+                Action::Reject { request, .. } | Action::Fail { request } => self.on_rejected(node, request),
+                Action::Timer { after, token } => {
+                    self.schedule(self.now + after, SimEvent::Timer { node, token })
+                }
                 _ => {}
             }
         }
     }
 
-    fn refused(&mut self, node: usize, request: RequestId) {
+    fn on_rejected(&mut self, node: usize, request: RequestId) {
         let Some(pending) = self.nodes[node].pending.get_mut(&request) else { return };
         pending.answered = true;
-        if pending.tries < TRIES {
+        if pending.tries < MAX_TRIES {
             let (not_after, tries) = (pending.not_after, pending.tries + 1);
-            self.at(self.now + RETRY_AFTER, Happening::Retry { node, not_after, tries });
+            self.schedule(self.now + RETRY_DELAY, SimEvent::Retry { node, not_after, tries });
         }
     }
 
@@ -391,31 +395,35 @@
         let Some(pending) = self.nodes[node].pending.get_mut(&request) else { return };
         let attempt = pending.attempts.len() as u32;
         pending.attempts.push(Some((self.now, server)));
-        let give_up = pending.not_after.min(timeout.map_or(Nanos::MAX, |timeout| self.now + timeout));
-        let (ends, outcome) = self.serve(server);
-        let (ends, outcome) = if ends > give_up { (give_up, Served::TimedOut) } else { (ends, outcome) };
-        self.at(ends.max(self.now + 1), Happening::Answer { node, request, attempt, outcome });
+        let give_up_at = pending.not_after.min(timeout.map_or(Nanos::MAX, |timeout| self.now + timeout));
+        let (completed_at, outcome) = self.serve(server);
+        let (completed_at, outcome) = if completed_at > give_up_at {
+            (give_up_at, ServerResult::TimedOut)
+        } else {
+            (completed_at, outcome)
+        };
+        self.schedule(completed_at.max(self.now + 1), SimEvent::Answer { node, request, attempt, outcome });
     }
 
     /// What becomes of a request that a server receives now.
-    fn serve(&mut self, number: usize) -> (Nanos, Served) {
+    fn serve(&mut self, number: usize) -> (Nanos, ServerResult) {
         let now = self.now;
-        self.count_cold(number);
+        self.record_overload(number);
         let ramp = self.ramp(number);
         let server = &mut self.servers[number];
         if !server.up {
-            return (now + MS / 2, Served::Refused);
+            return (now + MS / 2, ServerResult::ConnectionRefused);
         }
-        while server.ends.front().is_some_and(|&end| end <= now) {
-            server.ends.pop_front();
+        while server.completions.front().is_some_and(|&end| end <= now) {
+            server.completions.pop_front();
         }
-        if server.ends.len() >= MOST_HELD {
-            return (now + MS, Served::TurnedAway);
+        if server.completions.len() >= MAX_HELD {
+            return (now + MS, ServerResult::Rejected);
         }
-        let takes = (WORK as f64 / ramp * self.random.between(0.7, 1.3)) as Nanos;
-        server.busy_until = server.busy_until.max(now) + takes;
-        server.ends.push_back(server.busy_until);
-        (server.busy_until + MS / 2, Served::Yes)
+        let duration = (WORK as f64 / ramp * self.rng.between(0.7, 1.3)) as Nanos;
+        server.busy_until = server.busy_until.max(now) + duration;
+        server.completions.push_back(server.busy_until);
+        (server.busy_until + MS / 2, ServerResult::Served)
     }
 
     fn ramp(&self, number: usize) -> f64 {
@@ -424,7 +432,7 @@
         (self.rules.initial_capacity + (1.0 - self.rules.initial_capacity) * age).min(1.0)
     }
 
-    fn count_cold(&mut self, number: usize) {
+    fn record_overload(&mut self, number: usize) {
         let ramp = self.ramp(number);
         let server = &mut self.servers[number];
         if ramp >= 1.0 || !server.up {
@@ -443,18 +451,19 @@
         }
     }
 
-    fn answer(&mut self, node: usize, request: RequestId, attempt: u32, outcome: Served) {
+    fn on_attempt_ended(&mut self, node: usize, request: RequestId, attempt: u32, outcome: ServerResult) {
         let Some(pending) = self.nodes[node].pending.get_mut(&request) else { return };
         let Some((sent, server)) = pending.attempts[attempt as usize].take() else { return };
-        let ended = pending.answered || outcome == Served::Yes;
+        let ended = pending.answered || outcome == ServerResult::Served;
         pending.answered = ended;
         let elapsed = self.now - sent;
         if pending.answered && pending.attempts.iter().all(Option::is_none) {
             self.nodes[node].pending.remove(&request);
         }
-        let report = if outcome == Served::Yes { self.report(server) } else { LoadReport::default() };
+        let report =
+            if outcome == ServerResult::Served { self.report(server) } else { LoadReport::default() };
         let outcome = outcome.outcome();
-        self.tell(
+        self.handle(
             node,
             Event::AttemptEnded(AttemptResult {
                 request,
@@ -469,14 +478,14 @@
 
     /// A server's utilisation over the last half second or so, as its answers tell it.
     fn report(&mut self, number: usize) -> LoadReport {
-        let Some(error) = self.shape.reports else { return LoadReport::default() };
-        let noise = 1.0 + error * self.random.between(-1.0, 1.0);
+        let Some(error) = self.scenario.report_error else { return LoadReport::default() };
+        let noise = 1.0 + error * self.rng.between(-1.0, 1.0);
         let server = &mut self.servers[number];
-        let span = (self.now - server.used_at) as f64 / (500 * MS) as f64;
+        let span = (self.now - server.utilisation_at) as f64 / (500 * MS) as f64;
         let busy = if server.busy_until > self.now { 1.0 } else { 0.0 };
-        server.used += (busy - server.used) * (1.0 - (-span).exp());
-        server.used_at = self.now;
-        LoadReport { util: Some((server.used * noise).clamp(0.0, 1.0)), ..LoadReport::default() }
+        server.utilisation += (busy - server.utilisation) * (1.0 - (-span).exp());
+        server.utilisation_at = self.now;
+        LoadReport { util: Some((server.utilisation * noise).clamp(0.0, 1.0)), ..LoadReport::default() }
     }
 }
 
--- a/tests/slow_start/main.rs
+++ b/tests/slow_start/main.rs
@@ -10,13 +10,13 @@
 mod fleet;
 
 use brookfield::*;
-use fleet::{Fleet, Overload, Shape};
+use fleet::{Fleet, Overload, Scenario};
 
 const SECOND: Nanos = 1_000_000_000;
 const MEAN_WORK: Nanos = SECOND / 40;
 
 /// Fleets that are drawn; `SLOW_START_FLEETS` plays more of them.
-const DRAWN: u64 = 24;
+const RANDOM_SCENARIOS: u64 = 24;
 
 /// The budget that one of `nodes` nodes gives itself on a cold backend of zone 0, having served nothing yet.
 fn first_budget(rules: RuleParameters, nodes: u32, zones: u32, node: u32) -> f64 {
@@ -59,33 +59,44 @@
 /// However many zones the nodes stand in, what they may send before any of them has learned anything is together no
 /// more than a server takes that works on one request at a time.
 #[test]
-fn the_budgets_of_all_nodes_add_up_to_what_a_cold_server_takes() {
+fn slow_start_budgets_of_all_nodes_add_up_to_at_most_the_capacity_of_a_cold_server() {
     let rules = Settings::new(ZoneId(0), 1).rules;
-    let takes = rules.overload_factor * rules.overload_window as f64;
+    let capacity = rules.overload_factor * rules.overload_window as f64;
     for (nodes, zones) in [(32, 6), (12, 12), (1, 1), (2, 2), (5, 3), (16, 3), (90, 12), (20, 2), (300, 6)] {
         let sum: f64 = (0..nodes).map(|node| first_budget(rules, nodes, zones, node)).sum();
-        assert!(sum <= takes, "{nodes} nodes in {zones} zones: {:.2} of what it takes", sum / takes);
-        assert!(sum >= 0.19 * takes, "{nodes} nodes in {zones} zones: only {:.2} of it", sum / takes);
+        assert!(
+            sum <= capacity,
+            "{nodes} nodes in {zones} zones: budgets add up to {:.2} of the capacity",
+            sum / capacity
+        );
+        assert!(
+            sum >= 0.19 * capacity,
+            "{nodes} nodes in {zones} zones: budgets add up to only {:.2} of the capacity",
+            sum / capacity
+        );
     }
 }
 
 /// How far the worst cold server of a fleet was over what it could take.
-fn worst_overload(shape: Shape, seed: u64) -> Option<Overload> {
-    let mut fleet = Fleet::new(shape, seed);
-    fleet.play();
+fn worst_overload(scenario: Scenario, seed: u64) -> Option<Overload> {
+    let mut fleet = Fleet::new(scenario, seed);
+    fleet.run();
     fleet.worst_overload()
 }
 
 /// Nodes and zones in every proportion, with loads, crashes, reports and moving clients of every kind; among them
 /// a node alone in each of twelve zones.
 #[test]
-fn cold_servers_are_spared_in_drawn_fleets() {
-    let count = std::env::var("SLOW_START_FLEETS").ok().and_then(|count| count.parse().ok()).unwrap_or(DRAWN);
-    let drawn = (0..count).map(|seed| (seed, Shape::drawn(seed)));
-    let alone = (0..4).map(|seed| (seed, Shape { nodes: 12, zones: 12, ..Shape::default() }));
-    let broken: Vec<(u64, Shape, Overload)> = alone
-        .chain(drawn)
-        .filter_map(|(seed, shape)| Some((seed, shape, worst_overload(shape, seed)?)))
+fn cold_servers_are_not_overloaded_in_random_scenarios() {
+    let count = std::env::var("SLOW_START_FLEETS")
+        .ok()
+        .and_then(|count| count.parse().ok())
+        .unwrap_or(RANDOM_SCENARIOS);
+    let random = (0..count).map(|seed| (seed, Scenario::random(seed)));
+    let alone = (0..4).map(|seed| (seed, Scenario { nodes: 12, zones: 12, ..Scenario::default() }));
+    let overloaded: Vec<(u64, Scenario, Overload)> = alone
+        .chain(random)
+        .filter_map(|(seed, scenario)| Some((seed, scenario, worst_overload(scenario, seed)?)))
         .collect();
-    assert!(broken.is_empty(), "{} of {}: {broken:#?}", broken.len(), count + 4);
+    assert!(overloaded.is_empty(), "{} of {}: {overloaded:#?}", overloaded.len(), count + 4);
 }
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -8,7 +8,7 @@
 /// Two servers in each of three zones; home is the first.
 fn node(seed: u64) -> Node {
     let members = (0..6).map(|backend| member(backend, backend / 2)).collect();
-    Node::seeded(seed, settings(Idempotency::Idempotent), members)
+    Node::with_seed(seed, settings(Idempotency::Idempotent), members)
 }
 
 fn order(zone: u32, region: u32, share: f64) -> ZoneOverride {
@@ -25,17 +25,17 @@
 }
 
 #[test]
-fn without_orders_all_is_as_before() {
+fn an_empty_set_of_overrides_changes_nothing() {
     let (mut plain, mut ordered) = (node(3), node(3));
-    ordered.tell(Event::ZoneOverrides(Vec::new()));
+    ordered.handle(Event::ZoneOverrides(Vec::new()));
     assert_eq!(plain.serve(200, |_| util(0.9)), ordered.serve(200, |_| util(0.9)));
 }
 
 #[test]
-fn a_drained_home_is_left_in_steps_and_returned_to_more_slowly() {
+fn a_drained_home_zone_is_left_gradually_and_returned_to_more_slowly() {
     let mut node = node(1);
     assert_eq!(served(&mut node, 200), [200, 0, 0]);
-    node.tell(Event::ZoneOverrides(vec![order(0, 0, 0.0)]));
+    node.handle(Event::ZoneOverrides(vec![order(0, 0, 0.0)]));
     // 2 s in, about half of them have left; after 6 s all have.
     let leaving = served(&mut node, 200);
     assert!((60..160).contains(&leaving[0]) && leaving[0] < 190, "{leaving:?}");
@@ -43,7 +43,7 @@
     let away = served(&mut node, 200);
     assert_eq!(away[0], 0, "{away:?}");
     assert_eq!(away.iter().sum::<usize>(), 200, "all were served elsewhere");
-    node.tell(Event::ZoneOverrides(Vec::new()));
+    node.handle(Event::ZoneOverrides(Vec::new()));
     let returning = served(&mut node, 200);
     assert!((1..60).contains(&returning[0]), "{returning:?}");
     served(&mut node, 3000);
@@ -51,15 +51,15 @@
 }
 
 #[test]
-fn a_node_that_starts_in_the_middle_knows_of_it_and_one_that_runs_moves_in_its_own_time() {
+fn a_starting_node_adopts_overrides_at_once_and_running_nodes_move_at_different_rates() {
     let mut fresh = node(1);
-    fresh.tell(Event::ZoneOverrides(vec![order(0, 0, 0.0)]));
+    fresh.handle(Event::ZoneOverrides(vec![order(0, 0, 0.0)]));
     assert_eq!(served(&mut fresh, 100)[0], 0);
     let mut running: Vec<Node> = (0..20).map(node).collect();
     let mut left = Vec::new();
     for node in &mut running {
         served(node, 20);
-        node.tell(Event::ZoneOverrides(vec![order(0, 0, 0.0)]));
+        node.handle(Event::ZoneOverrides(vec![order(0, 0, 0.0)]));
         left.push(served(node, 200)[0]);
     }
     left.sort_unstable();
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_zone_held_out_takes_nothing_over_and_a_share_is_kept() {
+fn a_closed_zone_takes_no_overflow_and_a_partial_share_is_kept() {
     let over = |backend: BackendId| util(if backend.0 < 2 { 0.9 } else { 0.3 });
     let zones = |node: &mut Node, count| {
         let mut zones = [0; 3];
@@ -75,22 +75,22 @@
         zones
     };
     let mut held = node(1);
-    held.tell(Event::ZoneOverrides(vec![order(1, 0, 0.0)]));
+    held.handle(Event::ZoneOverrides(vec![order(1, 0, 0.0)]));
     let spilled = zones(&mut held, 400);
     assert!(spilled[1] == 0 && spilled[2] > 100, "{spilled:?}");
     let mut half = node(1);
-    half.tell(Event::ZoneOverrides(vec![order(0, 0, 0.5)]));
+    half.handle(Event::ZoneOverrides(vec![order(0, 0, 0.5)]));
     let split = served(&mut half, 400);
     assert!((140..260).contains(&split[0]), "{split:?}");
 }
 
 #[test]
-fn what_leaves_home_stays_in_its_region_while_a_zone_there_qualifies() {
+fn overflow_stays_in_the_home_region_while_a_zone_there_qualifies() {
     // Zone 2 is nearer by its figures, zone 1 by its region.
     let figures = |backend: BackendId| util([0.9, 0.6, 0.1][backend.0 as usize / 2]);
     let spill = |orders: Vec<ZoneOverride>| {
         let mut node = node(5);
-        node.tell(Event::ZoneOverrides(orders));
+        node.handle(Event::ZoneOverrides(orders));
         // One after the other, so that nothing is full; both other zones are seen first.
         node.serve(400, figures);
         let mut zones = [0; 3];
@@ -106,16 +106,16 @@
 }
 
 #[test]
-fn all_zones_held_out_refuses_at_once_and_breaks_nothing() {
+fn requests_are_rejected_while_all_zones_are_closed() {
     let mut node = node(1);
-    node.tell(Event::ZoneOverrides((0..3).map(|zone| order(zone, 0, 0.0)).collect()));
-    let (request, mut actions) = node.ask(SECOND);
-    actions.extend(node.pass(2 * SECOND));
+    node.handle(Event::ZoneOverrides((0..3).map(|zone| order(zone, 0, 0.0)).collect()));
+    let (request, mut actions) = node.request(SECOND);
+    actions.extend(node.advance(2 * SECOND));
     assert_eq!(sends(&actions), []);
     let refused = |action: &Action| matches!(action, Action::Reject { request: of, .. } if *of == request);
     assert_eq!(actions.iter().filter(|action| refused(action)).count(), 1, "{actions:?}");
     // What can't be a share is none.
-    node.tell(Event::ZoneOverrides(vec![order(0, 0, f64::NAN), order(9, 0, 0.0), order(1, 0, -3.0)]));
-    node.pass(60 * SECOND);
+    node.handle(Event::ZoneOverrides(vec![order(0, 0, f64::NAN), order(9, 0, 0.0), order(1, 0, -3.0)]));
+    node.advance(60 * SECOND);
     assert_eq!(served(&mut node, 50)[0], 50);
 }
