--- a/tests/any_sequence.rs
+++ b/tests/any_sequence.rs
@@ -1,5 +1,5 @@
-//! Arbitrary legal sequences of events, with fixed seeds; the four rules are checked over the actions.
-//! Nothing is modelled: outcomes are drawn, not computed.
+//! Random valid event sequences with fixed seeds; checks the contract on the resulting actions. Outcomes are
+//! random as well: no backend is simulated.
 
 mod common;
 use brookfield::*;
@@ -231,12 +231,12 @@
                 Event::Timer { token: rng.below(3) }
             }
         };
-        // The module's clock may be shown an earlier time; it must stand still, not fail.
+        // A clock that steps back must not cause a failure.
         node.now = if rng.below(50) == 0 { checker.now / 2 } else { checker.now };
         let actions = node.handle(event);
         checker.check(&actions);
     }
-    // Let everything come to its end: every attempt times out, then all must have been answered.
+    // Every attempt in flight times out; then all requests must have been answered.
     for _ in 0..200 {
         checker.now += 10 * MS;
         node.now = checker.now;
@@ -268,7 +268,7 @@
     }
     let open = checker.requests.values().filter(|tracked| !tracked.ended).count();
     assert_eq!(open, 0, "seed {seed}: requests without a final answer");
-    assert_eq!(node.balancer.open_requests(), 0, "seed {seed}: ended requests are kept");
+    assert_eq!(node.balancer.open_requests(), 0, "seed {seed}: ended requests are still tracked");
 }
 
 #[test]
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A node under test and the words for feeding it.
+//! A node under test, with helpers that feed it events.
 #![allow(dead_code)]
 
 use brookfield::*;
@@ -62,12 +62,12 @@
         self.handle(Event::BackendList { scope, members })
     }
 
-    /// A request of class 0 that its client gives up after `wait`.
+    /// A request of class 0 whose client waits for `wait`.
     pub fn request(&mut self, wait: Nanos) -> (RequestId, Vec<Action>) {
         self.request_marked(wait, false)
     }
 
-    /// The same, marked as a client's repeat.
+    /// The same, marked as a client's retry.
     pub fn request_retry(&mut self, wait: Nanos) -> (RequestId, Vec<Action>) {
         self.request_marked(wait, true)
     }
@@ -110,9 +110,9 @@
         }))
     }
 
-    /// Lets time pass with the housekeeping timer coming due.
-    pub fn advance(&mut self, span: Nanos) -> Vec<Action> {
-        let end = self.now + span;
+    /// Advances the clock in steps of 10 ms, with a timer event at each.
+    pub fn advance(&mut self, duration: Nanos) -> Vec<Action> {
+        let end = self.now + duration;
         let mut actions = Vec::new();
         while self.now < end {
             self.now = (self.now + 10 * MS).min(end);
@@ -121,15 +121,16 @@
         actions
     }
 
-    /// Asks `count` times, one in 10 ms; every send is served after 40 ms with the report of its backend.
+    /// Sends `count` requests, one every 10 ms. Each attempt is served after 40 ms with the report of its backend.
+    /// Returns the backends in the order of responses.
     pub fn serve(&mut self, count: usize, report: impl Fn(BackendId) -> LoadReport) -> Vec<BackendId> {
         let mut used = Vec::new();
-        let mut out: Vec<(RequestId, u32, BackendId, Nanos)> = Vec::new();
+        let mut in_flight: Vec<(RequestId, u32, BackendId, Nanos)> = Vec::new();
         for turn in 0..count + 40 {
             let mut actions = if turn < count { self.request(SECOND).1 } else { Vec::new() };
             actions.extend(self.advance(10 * MS));
-            let (due, rest) = out.into_iter().partition(|send| self.now >= send.3 + 40 * MS);
-            out = rest;
+            let (due, rest) = in_flight.into_iter().partition(|send| self.now >= send.3 + 40 * MS);
+            in_flight = rest;
             for (request, attempt, to, _) in Vec::from_iter::<Vec<_>>(due) {
                 used.push(to);
                 actions.extend(self.end_attempt_after(
@@ -142,8 +143,8 @@
             }
             for action in actions {
                 if let Action::Send { request, backend, .. } = action {
-                    let attempt = out.iter().filter(|send| send.0 == request).count() as u32;
-                    out.push((request, attempt, backend, self.now));
+                    let attempt = in_flight.iter().filter(|send| send.0 == request).count() as u32;
+                    in_flight.push((request, attempt, backend, self.now));
                 }
             }
         }
--- a/tests/contract.rs
+++ b/tests/contract.rs
@@ -1,11 +1,11 @@
-//! The four rules, one by one.
+//! The rules of the contract, one by one.
 
 mod common;
 use brookfield::*;
 use common::*;
 
-const RAN: [Outcome; 4] = [Outcome::Error, Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled];
-const NOT_RAN: [Outcome; 3] = [Outcome::Full, Outcome::ConnectFailed, Outcome::Moot];
+const MAY_HAVE_RUN: [Outcome; 4] = [Outcome::Error, Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled];
+const NEVER_RAN: [Outcome; 3] = [Outcome::Full, Outcome::ConnectFailed, Outcome::Moot];
 
 fn keyed(group: DedupGroup) -> Idempotency {
     Idempotency::Keyed { group, window: 200 * MS }
@@ -19,7 +19,7 @@
 fn a_request_without_any_backend_is_rejected_in_time() {
     let mut node = Node::new(settings(Idempotency::NonIdempotent), vec![]);
     let (_, actions) = node.request(300 * MS);
-    assert!(first_send(&actions).is_none() && !rejected(&actions) && !failed(&actions), "held at first");
+    assert!(first_send(&actions).is_none() && !rejected(&actions) && !failed(&actions), "queued at first");
     assert!(rejected(&node.advance(300 * MS)));
 }
 
@@ -54,7 +54,7 @@
 
 #[test]
 fn a_non_idempotent_request_is_retried_only_if_it_never_ran() {
-    for outcome in NOT_RAN {
+    for outcome in NEVER_RAN {
         let mut node = Node::new(settings(Idempotency::NonIdempotent), three_zones());
         let (request, _) = node.request(SECOND);
         assert!(
@@ -62,7 +62,7 @@
             "{outcome:?}"
         );
     }
-    for outcome in RAN {
+    for outcome in MAY_HAVE_RUN {
         let mut node = Node::new(settings(Idempotency::NonIdempotent), three_zones());
         let (request, _) = node.request(SECOND);
         let actions = node.end_attempt(request, 0, outcome, LoadReport::default());
@@ -72,12 +72,12 @@
 
 #[test]
 fn a_keyed_request_is_retried_only_within_its_group_and_window() {
-    for outcome in RAN {
+    for outcome in MAY_HAVE_RUN {
         let mut node = Node::new(settings(keyed(DedupGroup::Zone)), three_zones());
         let (request, first) = node.request(SECOND);
         let again = first_send(&node.end_attempt(request, 0, outcome, LoadReport::default()));
         assert_ne!(again, None, "{outcome:?}");
-        assert!(again.is_none_or(|to| to.0 < 2), "left its zone after {first:?}");
+        assert!(again.is_none_or(|to| to.0 < 2), "retried in another zone after {first:?}");
 
         let mut single = settings(keyed(DedupGroup::Zone));
         single.limits.concurrent_attempts = false;
@@ -85,7 +85,7 @@
         let (request, _) = node.request(SECOND);
         node.advance(200 * MS);
         let late = node.end_attempt(request, 0, outcome, LoadReport::default());
-        assert!(first_send(&late).is_none() && failed(&late), "sent past the window after {outcome:?}");
+        assert!(first_send(&late).is_none() && failed(&late), "retried after the window after {outcome:?}");
     }
 }
 
@@ -112,9 +112,9 @@
 
 #[test]
 fn attempts_stop_at_the_limit() {
-    let mut limits = settings(Idempotency::Idempotent);
-    limits.limits.max_attempts = 2;
-    let mut node = Node::new(limits, three_zones());
+    let mut config = settings(Idempotency::Idempotent);
+    config.limits.max_attempts = 2;
+    let mut node = Node::new(config, three_zones());
     let (request, _) = node.request(SECOND);
     assert!(
         first_send(&node.end_attempt(request, 0, Outcome::ConnectFailed, LoadReport::default())).is_some()
@@ -155,7 +155,7 @@
     }
 }
 
-/// Work of about 30 ms each, all backends half used: a cold one must get a small share of it.
+/// Requests of about 30 ms with all backends at 50% utilisation: a cold one gets a small share of them.
 #[test]
 fn a_cold_backend_gets_its_slow_start_budget_and_no_more() {
     let mut node = Node::new(settings(Idempotency::Idempotent), vec![member(0, 0), member(1, 0)]);
@@ -166,9 +166,9 @@
     for _ in 0..40 {
         to_cold += usize::from(first_send(&node.request(SECOND).1) == Some(BackendId(9)));
     }
-    // Half used backends take 33 requests a second together: capacity is about 33 a second each, a tenth
-    // of it over 2 s about 7, twice that the rule's limit for all nodes.
-    assert!((1..=7).contains(&to_cold), "{to_cold} to the cold backend");
+    // Two backends at 50% serve 33 requests a second, so the capacity of one is about 33 a second. A tenth of
+    // that over 2 s is about 7; the rule's limit for all nodes is twice that.
+    assert!((1..=7).contains(&to_cold), "{to_cold} requests to the cold backend");
 }
 
 #[test]
@@ -177,11 +177,11 @@
     node.serve(50, |_| util(0.5));
     node.update_list(ListScope::Changes, vec![Member { online_since: Some(node.now), ..member(0, 0) }]);
     let burst: usize = (0..30).filter(|_| first_send(&node.request(SECOND).1).is_some()).count();
-    assert!((1..=4).contains(&burst), "{burst} at once to a restarted backend");
+    assert!((1..=4).contains(&burst), "{burst} requests at once to a restarted backend");
 }
 
-/// Incident i911ba9: only requests with low hints fitted into the cold budget, and hints are rough, so the
-/// work behind them was far more than counted.
+/// Guards against selecting requests with low hints for the slow-start budget: hints are rough, so their
+/// actual work is far more than the budget counts (incident i911ba9).
 #[test]
 fn low_cost_hints_do_not_raise_the_slow_start_budget() {
     let config = Settings {
@@ -217,15 +217,16 @@
     let cold = |actions: Vec<Action>| usize::from(first_send(&actions) == Some(BackendId(9)));
     let taken: usize =
         (0..500).map(|turn| cold(ask(&mut node, Some(if turn % 2 == 0 { MS } else { 39 * MS })).1)).sum();
-    // One warm backend does a second's work a second at half use, so the share is 0.4 x 2 x 0.34 x 2: in 2 s
-    // that is room for 1.07 s of work, 18 pairs counted as 20 and 39 ms.
-    assert!((1..=40).contains(&taken), "{taken} to the cold backend");
+    // A warm backend does one second of work per second, so the node's share is 0.4 x 2 x 0.34 x 2: 1.07 s of
+    // work in 2 s, or 18 pairs of requests that count as 20 ms and 39 ms.
+    assert!((1..=40).contains(&taken), "{taken} requests to the cold backend");
 }
 
-/// What counts is when a repeat can run: a server takes it up after what it holds, and a connection may be late.
+/// Guards against a retry that runs after the deduplication window because it waits in a queue or for a
+/// connection.
 #[test]
 fn a_keyed_retry_is_sent_in_time_to_run_within_the_deduplication_window() {
-    let by = |actions: &[Action]| {
+    let send_by_of = |actions: &[Action]| {
         actions.iter().find_map(|action| match action {
             Action::Send { send_by, .. } => Some(*send_by),
             _ => None,
@@ -233,13 +234,14 @@
     };
     let mut node = Node::new(settings(keyed(DedupGroup::Zone)), three_zones());
     let (request, actions) = node.request(SECOND);
-    assert_eq!(by(&actions), Some(None), "nothing is repeated yet");
+    assert_eq!(send_by_of(&actions), Some(None), "the first attempt has no limit");
     let sent_at = node.now;
     node.now += 50 * MS;
-    let again = by(&node.end_attempt(request, 0, Outcome::Reset, LoadReport::default())).expect("a repeat");
-    let end = again.expect("a limit");
+    let again =
+        send_by_of(&node.end_attempt(request, 0, Outcome::Reset, LoadReport::default())).expect("a retry");
+    let end = again.expect("a deadline for sending");
     assert!(node.now < end && end + 30 * MS < sent_at + 200 * MS, "{}", (end - sent_at) / MS);
-    // What would be sent inside the window and run past it is not sent.
+    // A retry that would be sent within the window but run after it is not sent.
     let mut node = Node::new(settings(keyed(DedupGroup::Zone)), three_zones());
     let (request, _) = node.request(SECOND);
     node.now += 190 * MS;
--- a/tests/many.rs
+++ b/tests/many.rs
@@ -1,4 +1,5 @@
-//! Failures found where nodes are many: each sees little, shares nothing, and must not act as one.
+//! Regression tests with many nodes: each sees few requests and shares no state, and they must not act in
+//! step.
 
 mod common;
 use brookfield::*;
@@ -6,25 +7,25 @@
 
 const NODES: u32 = 300;
 
-/// Settings of one of many nodes in three zones, with live weights and late answers worth nothing.
+/// Settings of one of many nodes in three zones, with live weights and no value for late responses.
 fn many() -> Settings {
     Settings { node_count: NODES, weight_kind: WeightKind::Live, ..settings(Idempotency::Idempotent) }
 }
 
-/// A list of ten backends a zone, each holding what `held` says for its zone.
+/// A list of ten backends per zone; `held` gives the requests per core that each backend of a zone holds.
 fn listed(held: [f64; 3]) -> Vec<Member> {
     let weight = |zone: u32| 1.0 / (1.0 + held[zone as usize]);
     (0..30).map(|b| Member { weight: weight(b / 10), ..member(b, b / 10) }).collect()
 }
 
 fn node(seed: u64, config: Settings, members: Vec<Member>) -> Node {
-    // An idle list first: the largest weight of a kind is its size.
+    // A list of idle backends first: the largest live weight of a kind is taken as its capacity.
     let mut node = Node::with_seed(seed, config, listed([0.0; 3]));
     node.update_list(ListScope::Full, members);
     node
 }
 
-/// Two requests a second, each served after `took`, under a list that is renewed every second.
+/// Sends two requests a second, each served after `took`, with a new list every second.
 fn serve(node: &mut Node, seconds: u64, held: [f64; 3], took: Nanos) -> Vec<BackendId> {
     let mut used = Vec::new();
     for turn in 0..seconds * 2 {
@@ -46,7 +47,8 @@
     backend.0 / 10
 }
 
-/// Live weights were taken for capacity: home never counted as used, and never spilled (first full score).
+/// Guards against taking live weights for capacity: the home zone then never seems utilised and never spills
+/// over.
 #[test]
 fn live_weights_determine_the_utilisation() {
     let mut calm = node(1, many(), listed([1.0; 3]));
@@ -54,11 +56,11 @@
     let mut full = node(1, many(), listed([9.0, 0.2, 3.5]));
     let used = serve(&mut full, 30, [9.0, 0.2, 3.5], 50 * MS);
     let spilled = used.iter().filter(|to| zone(to) == 1).count();
-    assert!(spilled > used.len() / 3, "{spilled} of {} left a full home", used.len());
+    assert!(spilled > used.len() / 3, "{spilled} of {} left a full home zone", used.len());
     assert!(used.iter().all(|to| zone(to) != 2), "only the best zone takes the overflow");
 }
 
-/// Nodes with the same view all left home at once and piled onto the next zone.
+/// Guards against nodes with the same view leaving the home zone at once and overloading the next one.
 #[test]
 fn nodes_do_not_spill_over_in_step() {
     let first_spill = |seed| {
@@ -68,23 +70,23 @@
     let mut times: Vec<Option<usize>> = (0..12).map(first_spill).collect();
     times.sort_unstable();
     times.dedup();
-    assert!(times.len() > 3, "spilled at the same request: {times:?}");
+    assert!(times.len() > 3, "nodes spilled over at the same request: {times:?}");
 }
 
-/// The busiest server had 13 times the mean: every node took the few that a late list showed as free.
+/// Guards against every node choosing the few backends that a stale list shows as idle.
 #[test]
 fn nodes_do_not_herd_onto_a_backend_that_a_stale_list_shows_as_idle() {
     let members: Vec<Member> =
         (0..30).map(|b| Member { weight: if b == 3 { 1.0 } else { 0.25 }, ..member(b, b / 10) }).collect();
-    let to_free = (0..200).filter(|&seed| {
+    let to_idle = (0..200).filter(|&seed| {
         let mut node = node(seed, many(), members.clone());
         first_send(&node.request(SECOND).1) == Some(BackendId(3))
     });
-    let to_free = to_free.count();
-    assert!((10..60).contains(&to_free), "{to_free} of 200 nodes chose the free one of ten");
+    let to_idle = to_idle.count();
+    assert!((10..60).contains(&to_idle), "{to_idle} of 200 nodes chose the idle backend of ten");
 }
 
-/// Portal at full size: 2,000 refused connections in 5 s, as every node opened one to every server.
+/// Guards against every node opening a connection to every backend, which overflows their connection tables.
 #[test]
 fn a_node_uses_a_subset_of_backends_and_others_when_the_subset_fails() {
     let distinct = |used: &[BackendId]| {
@@ -96,7 +98,7 @@
     let mut node = node(5, many(), listed([0.5; 3]));
     let subset = distinct(&serve(&mut node, 60, [0.5; 3], 50 * MS));
     assert_eq!(subset.len(), 4);
-    // None of the subset takes a connection: the request still finds a backend, once each has been tried.
+    // If the whole subset refuses connections, requests are sent to other backends.
     let mut widened = false;
     for _ in 0..10 {
         let (request, actions) = node.request(SECOND);
@@ -111,7 +113,7 @@
     assert!(widened);
 }
 
-/// A full table of connections was taken for ill health and ejected for seconds.
+/// Guards against ejecting a backend for seconds because its connection table is full.
 #[test]
 fn a_refused_connection_ejects_no_backend_with_many_nodes() {
     let mut node = node(5, many(), listed([0.5; 3]));
@@ -126,7 +128,7 @@
     assert_eq!(logs, 0);
 }
 
-/// Jitter of arrivals made first tries look like repeats bound by the deadline: a third was refused.
+/// Guards against jitter of arrivals making first tries look like late retries, which are rejected.
 #[test]
 fn a_try_with_slightly_less_time_than_others_is_admitted() {
     let mut node = node(3, many(), listed([0.5; 3]));
@@ -139,18 +141,18 @@
     }
 }
 
-/// Repeats past the aim of the first try kept jams alive: serving them is worth nothing.
+/// Guards against retries sustaining an overload when their responses have no value any more.
 #[test]
 fn a_retry_past_its_latency_target_is_rejected_if_late_responses_have_no_value() {
     let mut node = node(3, many(), listed([0.5; 3]));
     let (request, _) = node.request(800 * MS);
     node.end_attempt(request, 0, Outcome::Served, LoadReport::default());
-    // The deadline is 1 s and the aim 400 ms: a try with 300 ms left began 700 ms ago.
+    // The deadline is 1 s and the latency target 400 ms: with 300 ms left, the first try was 700 ms ago.
     let (_, actions) = node.request(300 * MS);
     assert!(first_send(&actions).is_none() && rejected(&actions));
 }
 
-/// A class that had not been asked for of late found nothing left of a rounded sum.
+/// Guards against rejecting a class without recent requests because rounding left no share for it.
 #[test]
 fn a_class_without_recent_requests_is_admitted() {
     let mut config = many();
@@ -170,7 +172,8 @@
     assert!(first_send(&actions).is_some());
 }
 
-/// With discovery down, a burst met a frozen share: nine in ten attempts timed out.
+/// Guards against a burst overloading the backends while discovery is down and the admitted share cannot
+/// change.
 #[test]
 fn timeouts_lower_the_concurrency_limit_without_a_list_and_successes_raise_it_again() {
     let mut node = node(3, many(), listed([0.5; 3]));
@@ -190,14 +193,15 @@
     node.now += 10 * SECOND;
     assert!(run(&mut node, 50, Outcome::Served) > 45);
     run(&mut node, 30, Outcome::TimedOut);
-    let jammed = run(&mut node, 50, Outcome::TimedOut);
-    assert!((1..20).contains(&jammed), "{jammed} of 50 sent into a jam");
+    let overloaded = run(&mut node, 50, Outcome::TimedOut);
+    assert!((1..20).contains(&overloaded), "{overloaded} of 50 sent under overload");
     run(&mut node, 150, Outcome::Served);
     let after = run(&mut node, 50, Outcome::Served);
-    assert!(after > 40, "{after} of 50 after the jam");
+    assert!(after > 40, "{after} of 50 sent after the overload");
 }
 
-/// Servers worked on what was already past its aim; with few nodes the repeats would cost more.
+/// Guards against backends working on requests past their latency target. With few nodes the retries would
+/// cost more.
 #[test]
 fn attempts_time_out_at_the_latency_target_only_with_many_nodes() {
     let timeout = |nodes| {
@@ -212,7 +216,8 @@
     assert_eq!(timeout(2), Some(None));
 }
 
-/// One send of each node a span was let through: at a thousand nodes more than a cold backend bears.
+/// Guards against permitting every node one request per window: with many nodes, that overloads a cold
+/// backend.
 #[test]
 fn many_nodes_together_keep_the_slow_start_budget() {
     let mut to_cold = 0;
@@ -226,12 +231,12 @@
             node.now += SECOND / 2;
         }
     }
-    // 200 requests a second come to ten backends a third used: 60 a second each. A tenth of that over 2 s
-    // is 12 requests, twice that the rule's limit.
-    assert!((1..=24).contains(&to_cold), "{to_cold} to the cold backend");
+    // 200 requests a second go to ten backends at a third of their capacity, which is 60 a second each. A
+    // tenth of that over 2 s is 12 requests; the rule's limit is twice that.
+    assert!((1..=24).contains(&to_cold), "{to_cold} requests to the cold backend");
 }
 
-/// A node that had just started took 5% after its first list: it had counted no arrivals yet.
+/// Guards against a node that has counted few arrivals so far reacting too strongly to its first list.
 #[test]
 fn a_node_that_has_just_started_does_not_shed_all_load_on_its_first_list() {
     let taken = (0..100).filter(|&seed| {
@@ -245,13 +250,13 @@
         first_send(&node.request(SECOND).1).is_some()
     });
     let taken = taken.count();
-    assert!(taken > 60, "{taken} of 100");
+    assert!(taken > 60, "only {taken} of 100 nodes admitted the request");
 }
 
-/// A tenant at several times its usual traffic crowded out all others.
+/// Guards against a tenant with several times its usual traffic displacing all others.
 #[test]
 fn a_tenant_over_its_quota_is_rejected_first() {
-    // Five requests a second come to each node; three a second of tenant 0 are within its part.
+    // Each node receives ten requests a second; three a second of each tenant are within its quota.
     let quota = 3.0 * f64::from(NODES);
     let config = Settings { tenant_quotas: vec![quota, quota], over_quota_value: 0.1, ..many() };
     let mut node = node(3, config, listed([9.0; 3]));
@@ -285,7 +290,8 @@
     assert!(part(1) > 1.5 * part(0), "{taken:?} of {asked:?}");
 }
 
-/// Incident i58b577: in a jam nearly nothing was served, so that new servers, the way out, got nearly nothing.
+/// Guards against a slow-start budget that shrinks under overload because little is served, so that new
+/// backends cannot relieve it (incident i58b577).
 #[test]
 fn an_overload_does_not_reduce_the_slow_start_budget_of_new_backends() {
     let config = Settings { node_count: 3, ..settings(Idempotency::Idempotent) };
@@ -304,11 +310,11 @@
         vec![Member { online_since: Some(node.now - 15 * SECOND), ..member(9, 0) }],
     );
     let to_new = (0..40).filter(|_| first_send(&node.request(SECOND).1) == Some(BackendId(9))).count();
-    assert!(to_new >= 3, "{to_new} to the new server");
+    assert!(to_new >= 3, "{to_new} requests to the new backend");
 }
 
-/// Where load reports come by probe only, no capacity was ever measured: after a release 36 cold servers of
-/// 60 got three requests a second together, while the warm ones were overrun.
+/// Guards against starving cold backends where responses carry no load reports, so that no capacity is
+/// measured.
 #[test]
 fn a_cold_backend_is_used_without_load_reports() {
     let config = Settings { node_count: 60, ..settings(Idempotency::Idempotent) };
@@ -322,20 +328,20 @@
         let used = node.serve(200, |_| LoadReport::default());
         to_cold += used.iter().filter(|to| to.0 == 3).count();
     }
-    // Each tenth of the zone serves 400 requests of these 20 nodes in 2 s; 15% to 23% of that, 76, are sure
-    // by then, and three times as much is the limit.
-    assert!((15..150).contains(&to_cold), "{to_cold} to the cold backend");
+    // A backend of the zone serves 400 requests of these 20 nodes in 2 s. By then it has 15% to 23% of its
+    // capacity, or 76 requests, and the limit is three times as much.
+    assert!((15..150).contains(&to_cold), "{to_cold} requests to the cold backend");
 }
 
-/// The own bound was a share of what was asked, and so counted its own refusals: two thirds were refused for
-/// many seconds after a jam, of servers that answered at once, and one late answer in a calm second cost some.
+/// Guards against a limit that keeps rejecting for many seconds after an overload although backends respond
+/// at once, or that a single late response lowers.
 #[test]
 fn the_concurrency_limit_recovers_soon_after_an_overload() {
     let config = Settings { node_count: 60, ..settings(Idempotency::NonIdempotent) };
     let mut node = Node::with_seed(3, config, (0..30).map(|b| member(b, b / 10)).collect());
-    // Sixteen requests a second: of a second's, how many are sent.
-    let mut second = |outcome: fn(usize) -> Outcome| {
-        let sent_ones = (0..16).filter(|&turn| {
+    // Runs one second with sixteen requests; returns how many are sent.
+    let mut run_second = |outcome: fn(usize) -> Outcome| {
+        let sent = (0..16).filter(|&turn| {
             let (request, actions) = node.request(SECOND);
             node.advance(50 * MS);
             let to = first_send(&actions);
@@ -345,57 +351,57 @@
             node.advance(10 * MS);
             to.is_some()
         });
-        sent_ones.count()
+        sent.count()
     };
     let calm: usize =
-        (0..10).map(|_| second(|turn| if turn == 7 { Outcome::TimedOut } else { Outcome::Served })).sum();
-    assert!(calm >= 158, "{calm} of 160 with one late answer in 16");
+        (0..10).map(|_| run_second(|turn| if turn == 7 { Outcome::TimedOut } else { Outcome::Served })).sum();
+    assert!(calm >= 158, "{calm} of 160 sent with one late response in 16");
     (0..6).for_each(|_| {
-        second(|_| Outcome::TimedOut);
+        run_second(|_| Outcome::TimedOut);
     });
-    let jammed = second(|_| Outcome::TimedOut);
-    assert!(jammed <= 6, "{jammed} of 16 sent into a jam");
+    let overloaded = run_second(|_| Outcome::TimedOut);
+    assert!(overloaded <= 6, "{overloaded} of 16 sent under overload");
     (0..6).for_each(|_| {
-        second(|_| Outcome::Served);
+        run_second(|_| Outcome::Served);
     });
-    let after: usize = (0..2).map(|_| second(|_| Outcome::Served)).sum();
-    assert!(after >= 30, "{after} of 32 sent 6 s after the jam");
+    let after: usize = (0..2).map(|_| run_second(|_| Outcome::Served)).sum();
+    assert!(after >= 30, "{after} of 32 sent 6 s after the overload");
 }
 
-/// Whatever a node held nothing on was sent to, however slow it had just been: seven nodes that do so keep a
-/// jammed server jammed, while the others of their subset had room.
+/// Guards against each node sending to a slow backend because it has nothing in flight there, which keeps the
+/// backend overloaded while others have capacity.
 #[test]
 fn a_backend_that_was_just_slow_is_avoided_with_many_nodes() {
     let config = Settings { node_count: 60, ..settings(Idempotency::NonIdempotent) };
     let mut node = Node::with_seed(3, config, (0..30).map(|b| member(b, b / 10)).collect());
-    let mut slow_one = None;
+    let mut slow_backend = None;
     let mut used = [0, 0];
     for turn in 0..1200 {
         let (request, actions) = node.request(SECOND);
         let Some(to) = first_send(&actions) else { continue };
-        // One turns ten times slower after 10 s.
-        if turn >= 200 && slow_one.is_none() {
-            slow_one = Some(to);
+        // One backend becomes ten times slower after 10 s.
+        if turn >= 200 && slow_backend.is_none() {
+            slow_backend = Some(to);
         }
-        let took = if slow_one == Some(to) { 400 * MS } else { 40 * MS };
-        used[usize::from(slow_one == Some(to))] += usize::from(turn > 300);
+        let took = if slow_backend == Some(to) { 400 * MS } else { 40 * MS };
+        used[usize::from(slow_backend == Some(to))] += usize::from(turn > 300);
         node.end_attempt_after(request, 0, Outcome::Served, took, LoadReport::default());
         node.advance(50 * MS);
     }
-    // In 45 s one trial of each of these eight nodes in 2.4 s.
-    assert!((5..25).contains(&used[1]), "{used:?} sent to the others and the slow one");
+    // Each of the eight nodes that use the backend sends it one trial every 2.4 s, over 45 s.
+    assert!((5..25).contains(&used[1]), "{used:?} requests sent to the other backends and the slow one");
     assert!(used[0] > 800, "{used:?}");
 }
 
-/// Sends to the fifteen backends of a home zone in the 4 s after it has come back cold, by its thirty nodes of
-/// sixteen requests a second. A cold backend answers after `took`, all others after 40 ms.
+/// Requests sent to the fifteen backends of a home zone in the 4 s after it returned cold, by its thirty
+/// nodes with sixteen requests a second each. A cold backend responds after `took`, all others after 40 ms.
 fn sent_to_a_cold_home(took: Nanos) -> usize {
     let config = Settings { node_count: 60, zone_count: 2, ..settings(Idempotency::NonIdempotent) };
     let home = |since| (0..15).map(|b| Member { online_since: since, ..member(b, 0) }).collect::<Vec<_>>();
     let gone = || (0..15).map(|b| Member { stage: Stage::Gone, ..member(b, 0) }).collect::<Vec<_>>();
     let at_home = |to: BackendId| to.0 < 15;
-    let seconds = |node: &mut Node, seconds: usize, took: Nanos| {
-        let one = |node: &mut Node| {
+    let run_seconds = |node: &mut Node, seconds: usize, took: Nanos| {
+        let run_request = |node: &mut Node| {
             let (request, actions) = node.request(SECOND);
             let to = first_send(&actions)?;
             let took = if at_home(to) { took } else { 40 * MS };
@@ -406,7 +412,7 @@
         let mut to_home = 0;
         for _ in 0..seconds * 16 {
             let began = node.now;
-            to_home += usize::from(one(node).is_some_and(at_home));
+            to_home += usize::from(run_request(node).is_some_and(at_home));
             node.now = node.now.max(began + SECOND / 16);
         }
         to_home
@@ -415,35 +421,38 @@
     for seed in 0..30 {
         let mut node = Node::with_seed(seed, config.clone(), home(None));
         node.update_list(ListScope::Changes, (15..30).map(|b| member(b, 1)).collect());
-        seconds(&mut node, 20, 40 * MS);
+        run_seconds(&mut node, 20, 40 * MS);
         node.update_list(ListScope::Changes, gone());
-        seconds(&mut node, 120, 40 * MS);
+        run_seconds(&mut node, 120, 40 * MS);
         let since = Some(node.now - 4 * SECOND);
         node.update_list(ListScope::Changes, home(since));
-        to_home += seconds(&mut node, 4, took);
+        to_home += run_seconds(&mut node, 4, took);
     }
     to_home
 }
 
-/// A zone that came back cold was starved: what its servers carry was taken from the little served there last,
-/// which sank while it was gone, and they were held to be as slow as they were cold.
+/// Guards against starving a zone that returns cold, because its measured capacity decayed while it was gone
+/// and its backends are assumed to be slow.
 #[test]
 fn a_zone_that_returns_cold_is_used() {
-    // One request at a time at 30% to 45% of warmth: 9 a second each, and three times that is the limit.
+    // At 30% to 45% of its capacity a backend serves 9 requests a second one at a time; the limit is three
+    // times that.
     let to_home = sent_to_a_cold_home(100 * MS);
-    assert!((270..1600).contains(&to_home), "{to_home} of 1920 to the home that is back");
+    assert!((270..1600).contains(&to_home), "{to_home} of 1920 to the returned home zone");
 }
 
-/// A cold backend that answered at once was sent no more than one that answered as slowly as it might.
+/// Guards against a slow-start budget that ignores how fast a cold backend responds.
 #[test]
 fn a_cold_backend_that_responds_fast_gets_more_requests() {
     let (slow, prompt) = (sent_to_a_cold_home(110 * MS), sent_to_a_cold_home(45 * MS));
-    assert!(prompt as f64 > 1.3 * slow as f64, "{prompt} to prompt ones, {slow} to slow ones");
-    assert!(prompt < 1600, "{prompt} to prompt ones");
+    assert!(
+        prompt as f64 > 1.3 * slow as f64,
+        "{prompt} requests to fast cold backends, {slow} to slow ones"
+    );
+    assert!(prompt < 1600, "{prompt} requests to fast cold backends");
 }
 
-/// In a jam 45% of the arrivals were clients' further tries. What was past its aim by then, and worth a fifth,
-/// took the room of first tries.
+/// Guards against retries past their latency target, of little value, taking capacity from first tries.
 #[test]
 fn a_retry_past_its_latency_target_yields_to_first_tries_under_overload() {
     let mut config = Settings { node_count: 60, ..settings(Idempotency::NonIdempotent) };
@@ -458,23 +467,27 @@
         }
         usize::from(to.is_some())
     };
-    // The deadline is 1 s and the aim 400 ms: a try with 300 ms left belongs to one of 700 ms ago.
+    // The deadline is 1 s and the latency target 400 ms: with 300 ms left, the first try was 700 ms ago.
     let calm: usize = (0..40).map(|_| taken(&mut node, SECOND, Outcome::Served)).sum();
-    let calm_again: usize = (0..40).map(|_| taken(&mut node, 300 * MS, Outcome::Served)).sum();
-    assert!(calm >= 39 && calm_again >= 39, "{calm} and {calm_again} of 40 while there is room");
+    let calm_retries: usize = (0..40).map(|_| taken(&mut node, 300 * MS, Outcome::Served)).sum();
+    assert!(
+        calm >= 39 && calm_retries >= 39,
+        "{calm} first tries and {calm_retries} retries of 40 sent without overload"
+    );
     (0..4).for_each(|_| {
         taken(&mut node, SECOND, Outcome::Full);
         node.advance(SECOND);
     });
-    let (mut first, mut further) = (0, 0);
+    let (mut first, mut retries) = (0, 0);
     for turn in 0..60 {
-        further += taken(&mut node, 300 * MS, Outcome::Served);
+        retries += taken(&mut node, 300 * MS, Outcome::Served);
         first += taken(&mut node, SECOND, if turn % 8 == 0 { Outcome::Full } else { Outcome::Served });
     }
-    assert!(first > 10 && further < first / 3, "{first} first and {further} further tries of 60");
+    assert!(first > 10 && retries < first / 3, "{first} first tries and {retries} retries of 60 sent");
 }
 
-/// The own bound went by the client's time: a further try answered in 60 ms, but too late for it, closed it.
+/// Guards against counting a retry with little time left as a sign of overload when it is answered fast but
+/// too late.
 #[test]
 fn a_response_too_late_for_a_short_retry_does_not_lower_the_concurrency_limit() {
     let mut config = Settings { node_count: 60, ..settings(Idempotency::NonIdempotent) };
@@ -482,7 +495,7 @@
     let mut node = Node::with_seed(3, config, (0..30).map(|b| member(b, b / 10)).collect());
     let mut taken = 0;
     for turn in 0..160 {
-        // Every other one is a further try with 40 ms left of its aim.
+        // Every other request is a retry with 40 ms left to its latency target.
         let wait = if turn % 2 == 0 { SECOND } else { 640 * MS };
         let (request, actions) = node.request(wait);
         node.now += 60 * MS;
@@ -491,11 +504,11 @@
             node.end_attempt_after(request, 0, Outcome::Served, 60 * MS, LoadReport::default());
         }
     }
-    assert!(taken >= 78, "{taken} of 80 first tries taken");
+    assert!(taken >= 78, "{taken} of 80 first tries sent");
 }
 
-/// A zone that had gone silent was tried server by server, all of home: connects that never come up only put
-/// off the next try, and a dead subset led on to the rest of its zone.
+/// Guards against trying every backend of an unresponsive home zone in turn: each try waits for a connect
+/// timeout.
 #[test]
 fn an_unresponsive_zone_is_left_for_another_one() {
     let config = Settings { node_count: 40, zone_count: 2, ..settings(Idempotency::NonIdempotent) };
@@ -520,12 +533,15 @@
             attempt += 1;
         }
     }
-    assert!(tried.len() <= 4, "{} servers of the silent zone tried", tried.len());
-    assert!(to_home < 50 && served > 200, "{to_home} sent to the silent zone, {served} served by the other");
+    assert!(tried.len() <= 4, "{} backends of the unresponsive zone tried", tried.len());
+    assert!(
+        to_home < 50 && served > 200,
+        "{to_home} sent to the unresponsive zone, {served} served by the other"
+    );
 }
 
-/// A release of 300 nodes' clients, all of which nobody answers: what was refused came again, and a bound by the
-/// share of the arrivals sent the more the more came. Servers held ten requests a core and turned slow for good.
+/// Guards against a limit that is a share of the arrivals: retries of rejected requests then raise the load
+/// on servers that do not respond.
 #[test]
 fn client_retries_do_not_raise_the_load_on_unresponsive_servers() {
     let members: Vec<Member> = (0..30).map(|b| member(b, b / 10)).collect();
@@ -541,10 +557,13 @@
         .collect();
     let out = answers.iter().filter(|answer| answer.0).count();
     assert!((3..=8).contains(&out), "{out} of 200 sent in a second");
-    assert!(answers.iter().all(|answer| answer.0 != answer.1), "what is not sent is refused at once");
+    assert!(
+        answers.iter().all(|answer| answer.0 != answer.1),
+        "a request that is not sent is rejected at once"
+    );
 }
 
-/// Half of the clients came to the zone with a tenth of the servers; its nodes left it only once it was jammed.
+/// Guards against nodes leaving a small home zone with many clients only once it is overloaded.
 #[test]
 fn a_small_home_zone_sends_its_excess_to_larger_zones() {
     let zone = |b: u32| if b < 3 { 0 } else { 1 + (b - 3) / 14 };
@@ -562,23 +581,23 @@
             }
         }
     }
-    assert!(home >= 50 && away >= 50, "{home} at home and {away} away of 200");
+    assert!(home >= 50 && away >= 50, "{home} in the home zone and {away} in others of 200");
 }
 
-/// Four servers of a lost zone were listed first: 137 of the 158 requests that pushed one of them over came from
-/// the nodes of the other zones, each of which spilled what a node of the zone itself might have sent.
+/// Guards against nodes of other zones spilling as much to a cold backend as the nodes of its own zone may
+/// send.
 #[test]
 fn nodes_of_all_zones_together_keep_the_slow_start_budget() {
     let mut to_cold = 0;
     for seed in 0..u64::from(NODES) {
         let home = ZoneId(seed as u32 % 3);
         let config = Settings { home_zone: home, node_count: NODES, ..settings(Idempotency::NonIdempotent) };
-        let back = |b| Member { online_since: Some(50 * SECOND), ..member(b, 0) };
-        let members = (0..30).map(|b| if b < 4 { back(b) } else { member(b, 1 + b % 2) }).collect();
+        let cold = |b| Member { online_since: Some(50 * SECOND), ..member(b, 0) };
+        let members = (0..30).map(|b| if b < 4 { cold(b) } else { member(b, 1 + b % 2) }).collect();
         let mut node = Node::with_seed(seed, config, members);
         node.now += 50 * SECOND;
         for _ in 0..8 {
-            // All others have full tables of connections.
+            // All other backends refuse connections.
             let (request, actions) = node.request(SECOND);
             let (mut to, mut attempt) = (first_send(&actions), 0);
             while let Some(BackendId(4..)) = to {
@@ -594,18 +613,17 @@
             to_cold += usize::from(to.is_some());
         }
     }
-    // Twice a tenth of four servers' capacity over 2 s is 1.6 s of work, or 32 requests of 50 ms.
-    assert!((1..=32).contains(&to_cold), "{to_cold} to the cold backends");
+    // Twice a tenth of the capacity of four backends over 2 s is 1.6 s of work, or 32 requests of 50 ms.
+    assert!((1..=32).contains(&to_cold), "{to_cold} requests to the cold backends");
 }
 
-/// Windows stayed at two attempts where answers were as quick as ever, and a node's next three at once found no
-/// room: a sixth of all was refused by servers that were half idle.
+/// Guards against a limit that stays so low after fast responses that a small burst is rejected.
 #[test]
 fn the_concurrency_limit_allows_a_small_burst() {
     let config = Settings { node_count: NODES, ..settings(Idempotency::NonIdempotent) };
     let mut node = Node::with_seed(3, config, (0..10).map(|b| member(b, 0)).collect());
     node.now += 10 * SECOND;
-    let mut singly = |outcome, count| {
+    let mut run_one_at_a_time = |outcome, count| {
         for _ in 0..count {
             let (request, actions) = node.request(SECOND);
             node.advance(50 * MS);
@@ -615,8 +633,8 @@
             node.advance(50 * MS);
         }
     };
-    singly(Outcome::TimedOut, 40);
-    singly(Outcome::Served, 200);
-    let together = (0..4).filter(|_| first_send(&node.request(SECOND).1).is_some()).count();
-    assert_eq!(together, 4, "sent of four at once");
+    run_one_at_a_time(Outcome::TimedOut, 40);
+    run_one_at_a_time(Outcome::Served, 200);
+    let burst = (0..4).filter(|_| first_send(&node.request(SECOND).1).is_some()).count();
+    assert_eq!(burst, 4, "requests sent of a burst of four");
 }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -1,11 +1,11 @@
-//! The deploy file names every file that decides, and their lines stay readable.
+//! The deploy file lists every policy module, and their lines are not too long.
 
 use std::path::Path;
 
 use serde::Deserialize;
 
-/// Files of the core that decide nothing: the interface, the state, and the list of modules.
-const NO_DECISIONS: [&str; 3] = ["src/api.rs", "src/state.rs", "src/lib.rs"];
+/// Files of the core that hold no policy: the interface, the state, and the list of modules.
+const NO_POLICY: [&str; 3] = ["src/api.rs", "src/state.rs", "src/lib.rs"];
 
 #[derive(Deserialize)]
 struct Deploy {
@@ -25,9 +25,9 @@
 #[test]
 fn policy_files_have_no_overlong_lines() {
     let texts: Vec<String> = deploy().policy.iter().map(read).collect();
-    assert!(texts.iter().all(|text| !text.trim().is_empty()), "a file under policy holds no line");
+    assert!(texts.iter().all(|text| !text.trim().is_empty()), "a file under policy is empty");
     let widest = texts.iter().flat_map(|text| text.lines()).map(|line| line.chars().count()).max();
-    assert!(widest <= Some(110), "a line of {widest:?} columns");
+    assert!(widest <= Some(110), "the longest line has {widest:?} columns");
 }
 
 #[test]
@@ -37,8 +37,8 @@
     let files =
         std::fs::read_dir(folder).expect("the sources").map(|entry| entry.expect("a file").file_name());
     let names = files.map(|name| format!("src/{}", name.to_string_lossy()));
-    let mut deciding: Vec<String> = names.filter(|name| !NO_DECISIONS.contains(&name.as_str())).collect();
-    deciding.sort();
-    assert_eq!(deploy.policy, deciding);
+    let mut policy_files: Vec<String> = names.filter(|name| !NO_POLICY.contains(&name.as_str())).collect();
+    policy_files.sort();
+    assert_eq!(deploy.policy, policy_files);
     assert!(deploy.sim.ends_with("target/release/brookfield-wirehost"), "{}", deploy.sim);
 }
--- a/tests/slow_start/fleet.rs
+++ b/tests/slow_start/fleet.rs
@@ -1,6 +1,6 @@
-//! Several nodes side by side on the same servers, in virtual time: the decisions are the crate's own, servers and
-//! clients as simple as can be. A cold server has just what the settings promise, so that every node's estimate of
-//! it has to be low enough.
+//! Simulates several nodes that share servers, in virtual time, with simple models of servers and clients. A
+//! cold server has exactly the capacity that the settings promise, so a node that overestimates it overloads
+//! it.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -9,35 +9,35 @@
 
 const MS: Nanos = 1_000_000;
 const SECOND: Nanos = 1000 * MS;
-/// Work of a request on a warm server.
+/// Mean work of a request on a warm server.
 const WORK: Nanos = 25 * MS;
-/// A server that holds so many requests turns further ones away.
+/// A server that holds this many requests rejects further ones.
 const MAX_HELD: usize = 24;
 const DEADLINE: Nanos = 500 * MS;
-/// Tries of one client, and the time from a failed one to the next.
+/// Most tries of one client, and the time from a failed one to the next.
 const MAX_TRIES: u32 = 4;
 const RETRY_DELAY: Nanos = 5 * MS;
 const WARM_UP: Nanos = 8 * SECOND;
 const DURATION: Nanos = 24 * SECOND;
 
-/// What is played.
+/// Parameters of a simulation run.
 #[derive(Clone, Copy, Debug)]
 pub struct Scenario {
     pub nodes: u32,
     pub zones: u32,
     pub servers: u32,
-    /// Arrivals against what all servers can do, before and after the crash.
+    /// Arrivals relative to the capacity of all servers, and the factor on them from the crash on.
     pub load: f64,
     pub burst: f64,
-    /// Share of the servers that crash; a whole zone's first.
+    /// Share of the servers that crash, zone by zone.
     pub crashed_share: f64,
-    /// Time from one server's return to the next one's.
+    /// Time between the restarts of two servers.
     pub restart_interval: Nanos,
-    /// Time from a server's return until the list tells it.
+    /// Time from a server's restart until it is listed.
     pub discovery_delay: Nanos,
-    /// Answers carry the server's utilisation, with this relative error.
+    /// Relative error of the utilisation that responses report; `None` for no reports.
     pub report_error: Option<f64>,
-    /// How unevenly clients are spread over the nodes, 0 to 1; they move to other nodes every 2 s.
+    /// How unevenly clients are distributed over the nodes, 0 to 1; the distribution changes every 2 s.
     pub skew: f64,
     pub overload_factor: f64,
     pub initial_capacity: f64,
@@ -84,7 +84,7 @@
     }
 }
 
-/// More than a cold server can take, in requests within the span of the rule.
+/// A cold server that received more requests in the overload window than the rule allows.
 #[derive(Clone, Copy, Debug)]
 #[allow(dead_code)]
 pub struct Overload {
@@ -163,7 +163,7 @@
 struct Pending {
     not_after: Nanos,
     tries: u32,
-    /// Attempts so far: when each was sent and to whom, none once it has ended.
+    /// When each attempt was sent and to which server; `None` once it has ended.
     attempts: Vec<Option<(Nanos, usize)>>,
     answered: bool,
 }
@@ -246,7 +246,7 @@
         fleet
     }
 
-    /// Servers of the same zones crash together, and come back one after the other.
+    /// Servers crash together, zone by zone, and restart one after the other.
     fn schedule_crashes(&mut self) {
         let mut order: Vec<usize> = (0..self.servers.len()).collect();
         let first = self.rng.below(self.scenario.zones);
@@ -318,7 +318,7 @@
         }
     }
 
-    /// Clients are spread unevenly over the nodes, and differently every 2 s.
+    /// The node of a new client.
     fn random_node(&mut self) -> usize {
         if self.weights.is_empty() || self.now >= self.weights_at + 2 * SECOND {
             self.weights_at = self.now;
@@ -336,7 +336,7 @@
         0
     }
 
-    /// All nodes are told the list at once: every one of them knows what is cold.
+    /// Sends the full list to all nodes at once.
     fn publish_list(&mut self) {
         let member = |(number, server): (usize, &Server)| Member {
             backend: BackendId(number as u32),
@@ -405,7 +405,7 @@
         self.schedule(completed_at.max(self.now + 1), SimEvent::Answer { node, request, attempt, outcome });
     }
 
-    /// What becomes of a request that a server receives now.
+    /// When and how a server completes a request that it receives now.
     fn serve(&mut self, number: usize) -> (Nanos, ServerResult) {
         let now = self.now;
         self.record_overload(number);
@@ -476,7 +476,7 @@
         );
     }
 
-    /// A server's utilisation over the last half second or so, as its answers tell it.
+    /// The load report in a server's response: its utilisation, averaged with a time constant of 500 ms.
     fn report(&mut self, number: usize) -> LoadReport {
         let Some(error) = self.scenario.report_error else { return LoadReport::default() };
         let noise = 1.0 + error * self.rng.between(-1.0, 1.0);
@@ -489,7 +489,7 @@
     }
 }
 
-/// Requests that a cold server takes in the span of the rule before it falls, for `capacity` that it could do.
+/// Most requests that the rule allows a cold server with this capacity, in requests, in the overload window.
 fn allowed(capacity: f64) -> f64 {
     let root = capacity.sqrt();
     if capacity < 30.0 { capacity + 3.0 * root + 3.0 } else { capacity + 2.0 * root + 2.0 }
--- a/tests/slow_start/main.rs
+++ b/tests/slow_start/main.rs
@@ -1,11 +1,7 @@
-//! Slow start is kept by the sum of all nodes.
+//! The nodes together keep the slow-start budget of a cold backend.
 //!
-//! Seen: four servers crashed and came back cold within 2.2 s, and the one that came last, 4.4 s old, was sent 2.6
-//! times what it could do. How: 32 nodes in six zones shared twelve servers; with the others crowded, nodes of every
-//! zone sent two or three requests each to the cold one, every one of them within its node's own budget. Cause: the
-//! least part of a server's capacity that a node could count on was one part in the nodes of *a* zone, and as many
-//! such parts were handed out as there are zones. Proof: each node's log showed the same 188 ms of work a second
-//! (1000 / (32 / 6)), whatever it had measured (1 to 130), no trial, no proven capacity, and ages that agreed.
+//! Guards against budgets that are divided by the nodes of one zone only: with several zones, the nodes of
+//! all zones together then overload a cold backend although each stays within its own budget.
 
 mod fleet;
 
@@ -15,10 +11,10 @@
 const SECOND: Nanos = 1_000_000_000;
 const MEAN_WORK: Nanos = SECOND / 40;
 
-/// Fleets that are drawn; `SLOW_START_FLEETS` plays more of them.
+/// Number of random scenarios; the environment variable `SLOW_START_FLEETS` sets another one.
 const RANDOM_SCENARIOS: u64 = 24;
 
-/// The budget that one of `nodes` nodes gives itself on a cold backend of zone 0, having served nothing yet.
+/// Largest budget of one of `nodes` nodes for a cold backend of zone 0, before it has served anything.
 fn first_budget(rules: RuleParameters, nodes: u32, zones: u32, node: u32) -> f64 {
     let home = ZoneId(node % zones);
     let settings = Settings {
@@ -56,8 +52,8 @@
     actions.iter().filter_map(budget).fold(0.0, f64::max)
 }
 
-/// However many zones the nodes stand in, what they may send before any of them has learned anything is together no
-/// more than a server takes that works on one request at a time.
+/// For any number of zones, the unmeasured budgets of all nodes together are at most what a backend can take
+/// that works on one request at a time.
 #[test]
 fn slow_start_budgets_of_all_nodes_add_up_to_at_most_the_capacity_of_a_cold_server() {
     let rules = Settings::new(ZoneId(0), 1).rules;
@@ -77,15 +73,15 @@
     }
 }
 
-/// How far the worst cold server of a fleet was over what it could take.
+/// The worst overload of a cold server in a run.
 fn worst_overload(scenario: Scenario, seed: u64) -> Option<Overload> {
     let mut fleet = Fleet::new(scenario, seed);
     fleet.run();
     fleet.worst_overload()
 }
 
-/// Nodes and zones in every proportion, with loads, crashes, reports and moving clients of every kind; among them
-/// a node alone in each of twelve zones.
+/// Random numbers of nodes and zones, loads, crashes, reports and client distributions, and in addition
+/// twelve zones with one node each.
 #[test]
 fn cold_servers_are_not_overloaded_in_random_scenarios() {
     let count = std::env::var("SLOW_START_FLEETS")
