--- a/src/admission.rs
+++ b/src/admission.rs
@@ -81,7 +81,8 @@
         idle || stretch <= load_limit.min(MAX_DELAY_SHARE * left / state.base_latency)
     }
 
-    /// Sends a request, or queues it; with many nodes it is rejected instead of queued.
+    /// Sends a request, or queues it if no backend can take it; with many nodes it is ended instead of
+    /// queued.
     pub(crate) fn send_or_queue(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         if self.choose_backend(id).is_some_and(|to| self.send(id, to, actions)) {
             return;
@@ -105,7 +106,7 @@
         order.into_iter().filter(unsent).take(9).count();
     }
 
-    /// Rejects queued requests that can no longer be answered in time.
+    /// Ends queued requests that can no longer be answered in time.
     pub(crate) fn expire_queue(&mut self, actions: &mut Vec<Action>) {
         let interval = self.housekeeping_interval();
         for id in self.queue.clone() {
--- a/src/api.rs
+++ b/src/api.rs
@@ -200,7 +200,7 @@
     /// Checks that the settings are valid.
     pub fn validate(&self) -> Result<(), SettingsError> {
         let fail = |field, problem| Err(SettingsError { field, problem });
-        let rate = |v: f64| v.is_finite() && v >= 0.0;
+        let is_valid = |v: f64| v.is_finite() && v >= 0.0;
         if self.zone_count == 0 {
             return fail("zone_count", "must be at least 1");
         }
@@ -217,26 +217,26 @@
             if class.latency_target == 0 || class.deadline == 0 {
                 return fail("classes", "latency target and deadline must be above 0");
             }
-            if !rate(class.value) || !rate(class.late_value_share) {
+            if !is_valid(class.value) || !is_valid(class.late_value_share) {
                 return fail("classes", "value and late value share must be finite and not negative");
             }
         }
         if self.limits.max_attempts == 0 {
             return fail("limits.max_attempts", "must be at least 1");
         }
-        if !rate(self.rules.overload_factor) || self.rules.overload_factor == 0.0 {
+        if !is_valid(self.rules.overload_factor) || self.rules.overload_factor == 0.0 {
             return fail("rules.overload_factor", "must be finite and above 0");
         }
-        if !rate(self.rules.initial_capacity) || self.rules.initial_capacity > 1.0 {
+        if !is_valid(self.rules.initial_capacity) || self.rules.initial_capacity > 1.0 {
             return fail("rules.initial_capacity", "must be between 0 and 1");
         }
-        if !self.tenant_quotas.iter().all(|&quota| rate(quota)) {
+        if !self.tenant_quotas.iter().all(|&quota| is_valid(quota)) {
             return fail("tenant_quotas", "must be finite and not negative");
         }
-        if !rate(self.over_quota_value) {
+        if !is_valid(self.over_quota_value) {
             return fail("over_quota_value", "must be finite and not negative");
         }
-        if !rate(self.worst_class_weight) {
+        if !is_valid(self.worst_class_weight) {
             return fail("worst_class_weight", "must be finite and not negative");
         }
         Ok(())
@@ -371,7 +371,7 @@
     pub elapsed: Nanos,
     /// Whether the request has ended, now or earlier.
     pub request_ended: bool,
-    /// The backend's figures, if any came.
+    /// The backend's load report, if any.
     pub report: LoadReport,
 }
 
@@ -419,7 +419,7 @@
         outcome: Outcome,
         /// Time since the probe was sent.
         elapsed: Nanos,
-        /// The backend's figures, if any came.
+        /// The backend's load report, if any.
         report: LoadReport,
     },
     /// The client disconnected; no answer is needed any more.
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -54,6 +54,7 @@
         }
     }
 
+    /// Runs the periodic updates and the work on queued requests.
     pub(crate) fn housekeeping(&mut self, actions: &mut Vec<Action>) {
         if self.watch_retry_at.is_some_and(|at| self.now >= at) {
             self.watch_retry_at = None;
@@ -64,7 +65,7 @@
         self.expire_queue(actions);
     }
 
-    /// Logs an event, at most one a second.
+    /// Logs an event, or drops it if another one was logged within the last second.
     pub(crate) fn log(&mut self, actions: &mut Vec<Action>, event: LogEvent) {
         if self.now >= self.next_log_at {
             self.next_log_at = self.now + SECOND;
--- a/src/concurrency.rs
+++ b/src/concurrency.rs
@@ -12,7 +12,7 @@
 /// Initial limit of a zone of mean capacity.
 pub(crate) const INITIAL_LIMIT: f64 = 3.0;
 pub(crate) const MIN_LIMIT: f64 = 0.15;
-/// Time between attempts at a limit of 1; lower limits below 1 stretch it in proportion.
+/// Time between attempts at a limit of 1; a lower limit stretches it in proportion.
 pub(crate) const PACING_INTERVAL_NS: f64 = 0.3 * SECOND as f64;
 /// Share of the limit that is open to requests of low value.
 pub(crate) const LOW_PRIORITY_LIMIT_SHARE: f64 = 0.5;
--- a/src/health.rs
+++ b/src/health.rs
@@ -7,9 +7,9 @@
 const EJECTION_THRESHOLD: u32 = 6;
 /// A connection attempt that fails after this time was not refused: the machine does not respond.
 const UNRESPONSIVE_AFTER: Nanos = 40 * MS;
-/// Duration of the first ejection; doubles with each further one, up to 32 times.
+/// Duration of the first ejection; doubles with each further one, up to 32-fold.
 const BASE_EJECTION: Nanos = SECOND;
-/// Pause after a backend rejected a request as full; doubles with each consecutive rejection, up to 16 times.
+/// Pause after a backend rejected a request as full; doubles with each consecutive rejection, up to 16-fold.
 const BASE_REJECTION_BACKOFF: Nanos = 100 * MS;
 /// Largest share of the listed backends that may be ejected (panic threshold).
 const MAX_EJECTED_SHARE: f64 = 0.5;
--- a/src/request_ledger.rs
+++ b/src/request_ledger.rs
@@ -123,14 +123,16 @@
 
     /// Sends an attempt; the only place that does. Returns false if the contract forbids it.
     pub(crate) fn send(&mut self, id: RequestId, to: BackendId, actions: &mut Vec<Action>) -> bool {
-        let (nodes_per_zone, pair) =
+        let (nodes_per_zone, request_and_backend) =
             (self.nodes_per_zone(), self.requests.get(&id).zip(self.backends.get(&to)));
-        if !pair.is_some_and(|(request, backend)| self.permits(request, backend)) {
+        if !request_and_backend.is_some_and(|(request, backend)| self.permits(request, backend)) {
             return false;
         }
-        let send_by = pair.and_then(|(request, backend)| self.retry_deadline(request, backend));
+        let send_by =
+            request_and_backend.and_then(|(request, backend)| self.retry_deadline(request, backend));
         let window_start = self.slow_start_window_start();
-        let slow_start = pair.and_then(|(request, backend)| self.slow_start_decision(backend, request));
+        let slow_start =
+            request_and_backend.and_then(|(request, backend)| self.slow_start_decision(backend, request));
         let (Some(request), Some(backend)) = (self.requests.get_mut(&id), self.backends.get_mut(&to)) else {
             return false;
         };
--- a/src/state.rs
+++ b/src/state.rs
@@ -54,7 +54,7 @@
     }
 
     pub(crate) fn per_second(&self, now: Nanos) -> f64 {
-        // Skips the exponential for backends that this node does not use: the most, in a large fleet.
+        // Skips the exponential for backends that this node does not use, which most are in a large fleet.
         if self.value == 0.0 {
             0.0
         } else {
