--- a/src/backend_view.rs
+++ b/src/backend_view.rs
@@ -1,8 +1,8 @@
 //! What a node learns about each backend: load, slowness and expected delay. Makes no decisions itself.
 
 use crate::api::*;
-use crate::crowding::MANY_NODES_PER_ZONE;
 use crate::state::*;
+use crate::subsetting::MANY_NODES_PER_ZONE;
 
 /// Time constant of a backend's average utilisation.
 pub(crate) const UTILISATION_TIME_CONSTANT: Nanos = 400 * MS;
--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -5,8 +5,8 @@
 use crate::api::*;
 use crate::backend_view::UTILISATION_TIME_CONSTANT;
 use crate::concurrency::INITIAL_LIMIT;
-use crate::crowding::SUBSET_SIZE;
 use crate::state::*;
+use crate::subsetting::SUBSET_SIZE;
 
 /// Bounds of the weight correction that one list makes.
 const CORRECTION_BOUNDS: (f64, f64) = (0.1, 2.0);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,18 +5,18 @@
 mod admission;
 pub mod api;
 mod backend_view;
-mod choice;
 mod concurrency;
-mod crowding;
 mod discovery;
+mod events;
 mod health;
 mod pick;
-mod request_ledger;
+mod requests;
 mod retries;
 mod slow_start;
 mod state;
+mod subsetting;
 mod zone_choice;
-mod zones;
+mod zone_overrides;
 
 pub use api::*;
 pub use state::Balancer;
