--- a/tests/contract.rs
+++ b/tests/contract.rs
@@ -215,11 +215,11 @@
         vec![Member { online_since: Some(node.now - 8 * SECOND), ..member(9, 0) }],
     );
     let cold = |actions: Vec<Action>| usize::from(first_send(&actions) == Some(BackendId(9)));
-    let taken: usize =
+    let admitted: usize =
         (0..500).map(|turn| cold(ask(&mut node, Some(if turn % 2 == 0 { MS } else { 39 * MS })).1)).sum();
     // A warm backend does one second of work per second, so the node's share is 0.4 x 2 x 0.34 x 2: 1.07 s of
     // work in 2 s, or 18 pairs of requests that count as 20 ms and 39 ms.
-    assert!((1..=40).contains(&taken), "{taken} requests to the cold backend");
+    assert!((1..=40).contains(&admitted), "{admitted} requests to the cold backend");
 }
 
 /// Guards against a retry that runs after the deduplication window because it waits in a queue or for a
--- a/tests/many_nodes.rs
+++ b/tests/many_nodes.rs
@@ -8,7 +8,7 @@
 const NODES: u32 = 300;
 
 /// Settings of one of many nodes in three zones, with live weights and no value for late responses.
-fn many() -> Settings {
+fn many_node_settings() -> Settings {
     Settings { node_count: NODES, weight_kind: WeightKind::Live, ..settings(Idempotency::Idempotent) }
 }
 
@@ -51,9 +51,9 @@
 /// over.
 #[test]
 fn live_weights_determine_the_utilisation() {
-    let mut calm = node(1, many(), listed([1.0; 3]));
-    assert!(serve(&mut calm, 30, [1.0, 0.2, 0.2], 50 * MS).iter().all(|to| zone(to) == 0));
-    let mut full = node(1, many(), listed([9.0, 0.2, 3.5]));
+    let mut normal = node(1, many_node_settings(), listed([1.0; 3]));
+    assert!(serve(&mut normal, 30, [1.0, 0.2, 0.2], 50 * MS).iter().all(|to| zone(to) == 0));
+    let mut full = node(1, many_node_settings(), listed([9.0, 0.2, 3.5]));
     let used = serve(&mut full, 30, [9.0, 0.2, 3.5], 50 * MS);
     let spilled = used.iter().filter(|to| zone(to) == 1).count();
     assert!(spilled > used.len() / 3, "{spilled} of {} left a full home zone", used.len());
@@ -64,7 +64,7 @@
 #[test]
 fn nodes_do_not_spill_over_in_step() {
     let first_spill = |seed| {
-        let mut node = node(seed, many(), listed([5.0, 0.2, 0.2]));
+        let mut node = node(seed, many_node_settings(), listed([5.0, 0.2, 0.2]));
         serve(&mut node, 20, [5.0, 0.2, 0.2], 50 * MS).iter().position(|to| zone(to) == 1)
     };
     let mut times: Vec<Option<usize>> = (0..12).map(first_spill).collect();
@@ -79,7 +79,7 @@
     let members: Vec<Member> =
         (0..30).map(|b| Member { weight: if b == 3 { 1.0 } else { 0.25 }, ..member(b, b / 10) }).collect();
     let to_idle = (0..200).filter(|&seed| {
-        let mut node = node(seed, many(), members.clone());
+        let mut node = node(seed, many_node_settings(), members.clone());
         first_send(&node.request(SECOND).1) == Some(BackendId(3))
     });
     let to_idle = to_idle.count();
@@ -95,7 +95,7 @@
         seen.dedup();
         seen
     };
-    let mut node = node(5, many(), listed([0.5; 3]));
+    let mut node = node(5, many_node_settings(), listed([0.5; 3]));
     let subset = distinct(&serve(&mut node, 60, [0.5; 3], 50 * MS));
     assert_eq!(subset.len(), 4);
     // If the whole subset refuses connections, requests are sent to other backends.
@@ -116,7 +116,7 @@
 /// Guards against ejecting a backend for seconds because its connection table is full.
 #[test]
 fn a_refused_connection_ejects_no_backend_with_many_nodes() {
-    let mut node = node(5, many(), listed([0.5; 3]));
+    let mut node = node(5, many_node_settings(), listed([0.5; 3]));
     let mut logs = 0;
     for _ in 0..40 {
         let (request, _) = node.request(SECOND);
@@ -131,7 +131,7 @@
 /// Guards against jitter of arrivals making first tries look like late retries, which are rejected.
 #[test]
 fn a_try_with_slightly_less_time_than_others_is_admitted() {
-    let mut node = node(3, many(), listed([0.5; 3]));
+    let mut node = node(3, many_node_settings(), listed([0.5; 3]));
     for turn in 0..40 {
         let (request, actions) = node.request(500 * MS - (turn % 7) * MS);
         assert!(first_send(&actions).is_some(), "turn {turn}");
@@ -144,7 +144,7 @@
 /// Guards against retries sustaining an overload when their responses have no value any more.
 #[test]
 fn a_retry_past_its_latency_target_is_rejected_if_late_responses_have_no_value() {
-    let mut node = node(3, many(), listed([0.5; 3]));
+    let mut node = node(3, many_node_settings(), listed([0.5; 3]));
     let (request, _) = node.request(800 * MS);
     node.end_attempt(request, 0, Outcome::Served, LoadReport::default());
     // The deadline is 1 s and the latency target 400 ms: with 300 ms left, the first try was 700 ms ago.
@@ -155,7 +155,7 @@
 /// Guards against rejecting a class without recent requests because rounding left no share for it.
 #[test]
 fn a_class_without_recent_requests_is_admitted() {
-    let mut config = many();
+    let mut config = many_node_settings();
     config.classes.push(class(400, 1000, Idempotency::Idempotent));
     let mut node = node(3, config, listed([0.5; 3]));
     serve(&mut node, 10, [0.5; 3], 50 * MS);
@@ -176,19 +176,19 @@
 /// change.
 #[test]
 fn timeouts_lower_the_concurrency_limit_without_a_list_and_successes_raise_it_again() {
-    let mut node = node(3, many(), listed([0.5; 3]));
+    let mut node = node(3, many_node_settings(), listed([0.5; 3]));
     let run = |node: &mut Node, count: usize, outcome| {
-        let mut taken = 0;
+        let mut admitted = 0;
         for _ in 0..count {
             let (request, actions) = node.request(SECOND);
             node.now += 100 * MS;
             if first_send(&actions).is_some() {
-                taken += 1;
+                admitted += 1;
                 node.end_attempt_after(request, 0, outcome, 100 * MS, LoadReport::default());
             }
             node.now += 100 * MS;
         }
-        taken
+        admitted
     };
     node.now += 10 * SECOND;
     assert!(run(&mut node, 50, Outcome::Served) > 45);
@@ -205,7 +205,7 @@
 #[test]
 fn attempts_time_out_at_the_latency_target_only_with_many_nodes() {
     let timeout = |nodes| {
-        let config = Settings { node_count: nodes, ..many() };
+        let config = Settings { node_count: nodes, ..many_node_settings() };
         let mut node = node(3, config, listed([0.5; 3]));
         node.request(SECOND).1.iter().find_map(|action| match action {
             Action::Send { timeout, .. } => Some(*timeout),
@@ -222,7 +222,7 @@
 fn many_nodes_together_keep_the_slow_start_budget() {
     let mut to_cold = 0;
     for seed in 0..u64::from(NODES / 3) {
-        let mut node = node(seed, many(), listed([0.5; 3]));
+        let mut node = node(seed, many_node_settings(), listed([0.5; 3]));
         serve(&mut node, 10, [0.5; 3], 50 * MS);
         let cold = Member { online_since: Some(node.now), ..member(3, 0) };
         node.update_list(ListScope::Changes, vec![cold]);
@@ -239,8 +239,8 @@
 /// Guards against a node that has counted few arrivals so far reacting too strongly to its first list.
 #[test]
 fn a_node_that_has_just_started_does_not_shed_all_load_on_its_first_list() {
-    let taken = (0..100).filter(|&seed| {
-        let mut node = node(seed, many(), listed([6.0; 3]));
+    let admitted = (0..100).filter(|&seed| {
+        let mut node = node(seed, many_node_settings(), listed([6.0; 3]));
         let (request, _) = node.request(SECOND);
         node.now += 50 * MS;
         node.end_attempt_after(request, 0, Outcome::Served, 50 * MS, LoadReport::default());
@@ -249,8 +249,8 @@
         node.now += 200 * MS;
         first_send(&node.request(SECOND).1).is_some()
     });
-    let taken = taken.count();
-    assert!(taken > 60, "only {taken} of 100 nodes admitted the request");
+    let admitted = admitted.count();
+    assert!(admitted > 60, "only {admitted} of 100 nodes sent the request");
 }
 
 /// Guards against a tenant with several times its usual traffic displacing all others.
@@ -258,10 +258,11 @@
 fn a_tenant_over_its_quota_is_rejected_first() {
     // Each node receives ten requests a second; three a second of each tenant are within its quota.
     let quota = 3.0 * f64::from(NODES);
-    let config = Settings { tenant_quotas: vec![quota, quota], over_quota_value: 0.1, ..many() };
+    let config =
+        Settings { tenant_quotas: vec![quota, quota], over_quota_value: 0.1, ..many_node_settings() };
     let mut node = node(3, config, listed([9.0; 3]));
-    let mut taken = [0, 0];
-    let mut asked = [0, 0];
+    let mut admitted = [0, 0];
+    let mut arrivals = [0, 0];
     for turn in 0..600u64 {
         if turn % 10 == 0 {
             node.update_list(ListScope::Full, listed([9.0; 3]));
@@ -278,16 +279,16 @@
             not_after,
         };
         let actions = node.handle(Event::Request(arrival));
-        asked[tenant as usize] += 1;
+        arrivals[tenant as usize] += 1;
         node.now += 50 * MS;
         if first_send(&actions).is_some() {
-            taken[tenant as usize] += 1;
+            admitted[tenant as usize] += 1;
             node.end_attempt_after(request, 0, Outcome::Served, 50 * MS, LoadReport::default());
         }
         node.now += 50 * MS;
     }
-    let part = |tenant: usize| f64::from(taken[tenant]) / f64::from(asked[tenant]);
-    assert!(part(1) > 1.5 * part(0), "{taken:?} of {asked:?}");
+    let part = |tenant: usize| f64::from(admitted[tenant]) / f64::from(arrivals[tenant]);
+    assert!(part(1) > 1.5 * part(0), "{admitted:?} of {arrivals:?}");
 }
 
 /// Guards against a slow-start budget that shrinks under overload because little is served, so that new
@@ -353,9 +354,9 @@
         });
         sent.count()
     };
-    let calm: usize =
+    let normal: usize =
         (0..10).map(|_| run_second(|turn| if turn == 7 { Outcome::TimedOut } else { Outcome::Served })).sum();
-    assert!(calm >= 158, "{calm} of 160 sent with one late response in 16");
+    assert!(normal >= 158, "{normal} of 160 sent with one late response in 16");
     (0..6).for_each(|_| {
         run_second(|_| Outcome::TimedOut);
     });
@@ -458,7 +459,7 @@
     let mut config = Settings { node_count: 60, ..settings(Idempotency::NonIdempotent) };
     config.classes[0].late_value_share = 0.2;
     let mut node = Node::with_seed(3, config, (0..30).map(|b| member(b, b / 10)).collect());
-    let taken = |node: &mut Node, wait: Nanos, outcome: Outcome| {
+    let admitted = |node: &mut Node, wait: Nanos, outcome: Outcome| {
         let (request, actions) = node.request(wait);
         node.advance(60 * MS);
         let to = first_send(&actions);
@@ -468,20 +469,20 @@
         usize::from(to.is_some())
     };
     // The deadline is 1 s and the latency target 400 ms: with 300 ms left, the first try was 700 ms ago.
-    let calm: usize = (0..40).map(|_| taken(&mut node, SECOND, Outcome::Served)).sum();
-    let calm_retries: usize = (0..40).map(|_| taken(&mut node, 300 * MS, Outcome::Served)).sum();
+    let normal: usize = (0..40).map(|_| admitted(&mut node, SECOND, Outcome::Served)).sum();
+    let normal_retries: usize = (0..40).map(|_| admitted(&mut node, 300 * MS, Outcome::Served)).sum();
     assert!(
-        calm >= 39 && calm_retries >= 39,
-        "{calm} first tries and {calm_retries} retries of 40 sent without overload"
+        normal >= 39 && normal_retries >= 39,
+        "{normal} first tries and {normal_retries} retries of 40 sent without overload"
     );
     (0..4).for_each(|_| {
-        taken(&mut node, SECOND, Outcome::Full);
+        admitted(&mut node, SECOND, Outcome::Full);
         node.advance(SECOND);
     });
     let (mut first, mut retries) = (0, 0);
     for turn in 0..60 {
-        retries += taken(&mut node, 300 * MS, Outcome::Served);
-        first += taken(&mut node, SECOND, if turn % 8 == 0 { Outcome::Full } else { Outcome::Served });
+        retries += admitted(&mut node, 300 * MS, Outcome::Served);
+        first += admitted(&mut node, SECOND, if turn % 8 == 0 { Outcome::Full } else { Outcome::Served });
     }
     assert!(first > 10 && retries < first / 3, "{first} first tries and {retries} retries of 60 sent");
 }
@@ -493,18 +494,18 @@
     let mut config = Settings { node_count: 60, ..settings(Idempotency::NonIdempotent) };
     config.classes[0].late_value_share = 0.2;
     let mut node = Node::with_seed(3, config, (0..30).map(|b| member(b, b / 10)).collect());
-    let mut taken = 0;
+    let mut admitted = 0;
     for turn in 0..160 {
         // Every other request is a retry with 40 ms left to its latency target.
         let wait = if turn % 2 == 0 { SECOND } else { 640 * MS };
         let (request, actions) = node.request(wait);
         node.now += 60 * MS;
         if first_send(&actions).is_some() {
-            taken += usize::from(turn % 2 == 0);
+            admitted += usize::from(turn % 2 == 0);
             node.end_attempt_after(request, 0, Outcome::Served, 60 * MS, LoadReport::default());
         }
     }
-    assert!(taken >= 78, "{taken} of 80 first tries sent");
+    assert!(admitted >= 78, "{admitted} of 80 first tries sent");
 }
 
 /// Guards against trying every backend of an unresponsive home zone in turn: each try waits for a connect
--- a/tests/regressions.rs
+++ b/tests/regressions.rs
@@ -66,8 +66,8 @@
             node.end_attempt_after(request, 0, Outcome::Served, 900 * MS, util(1.0));
         }
     }
-    let taken = (0..20).filter(|_| first_send(&node.request(SECOND).1).is_some()).count();
-    assert!(taken <= 1, "{taken} requests sent to overloaded backends");
+    let admitted = (0..20).filter(|_| first_send(&node.request(SECOND).1).is_some()).count();
+    assert!(admitted <= 1, "{admitted} requests sent to overloaded backends");
 }
 
 /// Guards against a class of high value with a short latency target finding all capacity taken by other
@@ -79,7 +79,7 @@
     config.classes =
         vec![long_target, ClassSettings { value: 5.0, ..class(500, 2000, Idempotency::Idempotent) }];
     let mut node = Node::new(config, fleet(2));
-    let mut taken = [0, 0];
+    let mut admitted = [0, 0];
     let mut in_flight = Vec::new();
     for turn in 0..2000u64 {
         let id = RequestId(1_000_000 + turn);
@@ -94,7 +94,7 @@
         };
         for action in node.handle(Event::Request(arrival)) {
             if let Action::Send { request, .. } = action {
-                taken[(request.0 % 2) as usize] += 1;
+                admitted[(request.0 % 2) as usize] += 1;
                 in_flight.push(request);
             }
         }
@@ -105,14 +105,14 @@
             let elapsed = 15 * MS * (in_flight.len() as u64 + 1);
             for action in node.end_attempt_after(request, 0, Outcome::Served, elapsed, util(0.99)) {
                 if let Action::Send { request, .. } = action {
-                    taken[(request.0 % 2) as usize] += 1;
+                    admitted[(request.0 % 2) as usize] += 1;
                     in_flight.push(request);
                 }
             }
         }
         node.handle(Event::Timer { token: 0 });
     }
-    assert!(taken[1] > taken[0], "{taken:?}");
+    assert!(admitted[1] > admitted[0], "{admitted:?}");
 }
 
 #[test]
@@ -165,13 +165,13 @@
 /// if301ed).
 #[test]
 fn nodes_that_share_a_zone_leave_capacity_for_each_other() {
-    let taken = |nodes| {
+    let admitted = |nodes| {
         let config = Settings { node_count: nodes, ..settings(Idempotency::Idempotent) };
         let mut node = Node::new(config, fleet(2));
         node.serve(200, |_| util(0.5));
         (0..60).filter(|_| first_send(&node.request(SECOND).1).is_some()).count()
     };
-    let (alone, shared) = (taken(3), taken(12));
+    let (alone, shared) = (admitted(3), admitted(12));
     assert!(shared < alone, "{alone} sent by a node alone in its zone, {shared} by one of four");
 }
 
@@ -194,11 +194,11 @@
 #[test]
 fn a_first_try_with_less_time_than_marked_retries_is_admitted() {
     let marked = |retries_marked| Settings { retries_marked, ..settings(Idempotency::Idempotent) };
-    for (retries_marked, taken) in [(true, true), (false, false)] {
+    for (retries_marked, admitted) in [(true, true), (false, false)] {
         let mut node = Node::new(marked(retries_marked), vec![member(1, 0)]);
         node.request_retry(950 * MS);
         let (_, actions) = node.request(400 * MS);
-        assert_eq!((first_send(&actions).is_some(), rejected(&actions)), (taken, !taken));
+        assert_eq!((first_send(&actions).is_some(), rejected(&actions)), (admitted, !admitted));
     }
 }
 
--- a/tests/slow_start/fleet.rs
+++ b/tests/slow_start/fleet.rs
@@ -481,9 +481,9 @@
         let Some(error) = self.scenario.report_error else { return LoadReport::default() };
         let noise = 1.0 + error * self.rng.between(-1.0, 1.0);
         let server = &mut self.servers[number];
-        let span = (self.now - server.utilisation_at) as f64 / (500 * MS) as f64;
+        let elapsed = (self.now - server.utilisation_at) as f64 / (500 * MS) as f64;
         let busy = if server.busy_until > self.now { 1.0 } else { 0.0 };
-        server.utilisation += (busy - server.utilisation) * (1.0 - (-span).exp());
+        server.utilisation += (busy - server.utilisation) * (1.0 - (-elapsed).exp());
         server.utilisation_at = self.now;
         LoadReport { util: Some((server.utilisation * noise).clamp(0.0, 1.0)), ..LoadReport::default() }
     }
