--- a/node/src/discovery/mod.rs
+++ b/node/src/discovery/mod.rs
@@ -19,7 +19,7 @@
 use tokio::task::{JoinSet, spawn_local};
 use tokio::time::{Instant, sleep_until, timeout};
 
-use crate::driver::{Listed, Node};
+use crate::driver::{BackendEntry, Node};
 use poller::{Poller, Timeouts};
 
 /// A list of thousands of backends fits.
@@ -55,7 +55,7 @@
     }
 
     /// Its lines, as the driver takes them.
-    pub fn listed(self) -> Vec<Listed> {
+    pub fn listed(self) -> Vec<BackendEntry> {
         self.targets.into_iter().map(Target::listed).collect()
     }
 }
@@ -84,8 +84,8 @@
 }
 
 impl Target {
-    fn listed(self) -> Listed {
-        Listed {
+    fn listed(self) -> BackendEntry {
+        BackendEntry {
             uid: self.uid,
             endpoint: self.endpoint,
             zone: self.az,
@@ -96,7 +96,7 @@
                 State::Terminating => Stage::Draining,
                 State::Gone => Stage::Gone,
             },
-            size: self.capacity_hint,
+            weight: self.capacity_hint,
             boot_ms: self.boot_ms,
         }
     }
@@ -156,7 +156,7 @@
         let timeouts = if node.asks_discovery() { Timeouts::ASKED } else { Timeouts::PUSHED };
         let poller = Poller::new(timeouts, known.as_ref().map(|list| list.rev));
         if let Some(list) = known {
-            node.fleet(ListScope::Cached, list.listed());
+            node.update_backends(ListScope::Cached, list.listed());
         }
         Self { node, at, poller, calls: JoinSet::new(), kept: None, began: Instant::now() }
     }
@@ -215,7 +215,7 @@
         tracing::debug!(rev = list.rev, whole = list.all, lines = list.targets.len(), "list answered");
         let scope = if list.all { ListScope::Full } else { ListScope::Changes };
         if list.all || !list.targets.is_empty() {
-            self.node.fleet(scope, list.listed());
+            self.node.update_backends(scope, list.listed());
         } else {
             self.node.list_unchanged();
         }
@@ -224,7 +224,7 @@
     fn missed(&mut self, call: u64, error: &CallError) {
         tracing::warn!(cause = %error, "{}", error.kind());
         self.poller.failed(self.began.elapsed(), call);
-        self.node.fleet_failed();
+        self.node.discovery_failed();
     }
 
     /// Ends all calls that are out, with their connections: an answer to one must not be taken for another's.
--- a/node/src/discovery/tests.rs
+++ b/node/src/discovery/tests.rs
@@ -1,14 +1,14 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 use super::*;
-use crate::driver::tests::optionless;
+use crate::driver::tests::stream_without_nodelay;
 
 const NOWHERE: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 9);
 
 /// No list ever arrived where the option failed: each call ended before it was made.
 #[tokio::test]
 async fn a_connection_that_takes_no_option_brings_the_list() {
-    let (mut peer, stream) = optionless();
+    let (mut peer, stream) = stream_without_nodelay();
     let called = async { list_at(NOWHERE, Some(talk(stream).await?), INSTANCES_PATH).await };
     let answered = async {
         let mut asked = [0; 4];
--- a/node/src/driver/backends.rs
+++ b/node/src/driver/backends.rs
@@ -6,7 +6,7 @@
 use brookfield::{BackendId, ListScope, Member, Nanos, Stage};
 use brookfield_settings::NameTable;
 
-use super::exchange::Listed;
+use super::exchange::BackendEntry;
 
 const NANOS_IN_MS: u64 = 1_000_000;
 /// A change of the list is told this long after it happened at the latest, while discovery can be reached.
@@ -59,7 +59,7 @@
     pub fn take(
         &mut self,
         scope: ListScope,
-        list: Vec<Listed>,
+        list: Vec<BackendEntry>,
         now: Nanos,
         words: &mut NameTable,
     ) -> Changed {
@@ -114,7 +114,7 @@
     /// One line of a list as the module takes it; none for one that has gone and was never known.
     pub(super) fn member(
         &mut self,
-        listed: Listed,
+        listed: BackendEntry,
         now: Nanos,
         words: &mut NameTable,
         retired: &mut Vec<BackendId>,
@@ -155,7 +155,7 @@
             kind: words.kind(&listed.kind),
             cell: listed.cell,
             stage: listed.stage,
-            weight: listed.size,
+            weight: listed.weight,
             online_since,
         })
     }
@@ -171,7 +171,7 @@
     }
 
     /// Whether a backend may still be written to, with this much time after it was told to drain.
-    pub fn open_to_writes(&self, backend: BackendId, now: Nanos, grace: Nanos) -> bool {
+    pub fn may_send_to(&self, backend: BackendId, now: Nanos, grace: Nanos) -> bool {
         self.known.get(&backend).is_some_and(|backend| {
             backend.draining_since.is_none_or(|since| now < since.saturating_add(grace))
         })
@@ -183,7 +183,7 @@
     }
 
     /// Whether a backend takes requests, at this address.
-    pub fn in_service(&self, backend: BackendId, endpoint: SocketAddr) -> bool {
+    pub fn is_in_service(&self, backend: BackendId, endpoint: SocketAddr) -> bool {
         let known = self.known.get(&backend);
         known.is_some_and(|known| known.draining_since.is_none() && known.endpoint == endpoint)
     }
--- a/node/src/driver/exchange.rs
+++ b/node/src/driver/exchange.rs
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 /// A client's request in the form in which it is passed on.
-pub struct Call {
+pub struct HttpRequest {
     /// Its method.
     pub method: Method,
     /// Its path and query.
@@ -23,21 +23,21 @@
 
 /// The final answer to a request.
 #[derive(Debug)]
-pub enum Reply {
+pub enum FinalResponse {
     /// Served, with a backend's answer.
     Served(Bytes),
     /// Refused; the client should stay away for this long, if that is above 0.
-    Refused(Nanos),
+    Rejected(Nanos),
     /// Failed.
     Failed,
 }
 
-impl Reply {
+impl FinalResponse {
     /// What it is, in one word, for the log.
     pub(super) fn word(&self) -> &'static str {
         match self {
             Self::Served(_) => "served",
-            Self::Refused(_) => "refused",
+            Self::Rejected(_) => "refused",
             Self::Failed => "failed",
         }
     }
@@ -45,22 +45,22 @@
 
 /// One attempt of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ticket {
+pub struct AttemptId {
     pub(super) request: RequestId,
     pub(super) attempt: u32,
     pub(super) backend: BackendId,
 }
 
 /// An attempt to be made.
-pub struct Launch {
+pub struct Attempt {
     /// Which one; goes back with its outcome.
-    pub ticket: Ticket,
+    pub id: AttemptId,
     /// Whom to send to.
     pub backend: BackendId,
     /// Where it listens.
     pub endpoint: SocketAddr,
     /// What to send.
-    pub call: Rc<Call>,
+    pub http: Rc<HttpRequest>,
     /// When to stop waiting.
     pub give_up: Nanos,
     /// When the client stops waiting.
@@ -72,7 +72,7 @@
 }
 
 /// How an attempt ended.
-pub struct Ending {
+pub struct UpstreamResult {
     /// What happened.
     pub outcome: Outcome,
     /// The load report that came along.
@@ -81,15 +81,15 @@
     pub body: Bytes,
 }
 
-impl Ending {
+impl UpstreamResult {
     /// An end with nothing received.
-    pub fn bare(outcome: Outcome) -> Self {
+    pub fn new(outcome: Outcome) -> Self {
         Self { outcome, report: LoadReport::default(), body: Bytes::new() }
     }
 }
 
 /// One line of discovery's list.
-pub struct Listed {
+pub struct BackendEntry {
     /// The backend's name.
     pub uid: String,
     /// Where it listens.
@@ -103,25 +103,25 @@
     /// What it may take.
     pub stage: Stage,
     /// Its size.
-    pub size: f64,
+    pub weight: f64,
     /// When it last started; 0 for long ago.
     pub boot_ms: u64,
 }
 
 /// What a client's request says of itself.
-pub struct Asked {
+pub struct ClientRequest {
     /// Its class.
     pub class: u32,
     /// Its tenant.
     pub tenant: Option<u32>,
     /// Its work, where the client guesses it.
-    pub hint: Option<Nanos>,
+    pub cost_hint: Option<Nanos>,
     /// Marked as a repeat.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// How long the client waits.
     pub budget: Nanos,
     /// What is passed on.
-    pub call: Call,
+    pub http: HttpRequest,
 }
 
 /// How the list stands that the fleet's registry tells.
@@ -134,5 +134,5 @@
     /// Which replica is asked.
     pub replica: SocketAddr,
     /// Since when no replica has answered.
-    pub away_since: Option<Instant>,
+    pub unreachable_since: Option<Instant>,
 }
--- a/node/src/driver/mod.rs
+++ b/node/src/driver/mod.rs
@@ -1,5 +1,5 @@
 //! Between the sockets and the module: the sole owner of the [`Balancer`]. Events go in, actions come out; what an
-//! action asks of the network is left to a [`Launcher`]. Nothing is decided here, and no borrow of the driver
+//! action asks of the network is left to a [`Transport`]. Nothing is decided here, and no borrow of the driver
 //! outlives one of its calls.
 //!
 //! This file holds the turn of events. Beside it: `exchange`, what passes between the driver and the sockets;
@@ -29,7 +29,9 @@
 use tracing::Level;
 
 use backends::Backends;
-pub use exchange::{Asked, Call, Ending, Launch, ListState, Listed, Reply, Ticket};
+pub use exchange::{
+    Attempt, AttemptId, BackendEntry, ClientRequest, FinalResponse, HttpRequest, ListState, UpstreamResult,
+};
 use requests::Requests;
 use timers::{Due, Timers};
 
@@ -47,11 +49,11 @@
 }
 
 /// Carries out on the network what the module asks for.
-pub trait Launcher {
+pub trait Transport {
     /// Starts an attempt; its end comes back by [`Node::settled`], exactly once.
-    fn launch(&self, node: &Node, launch: Launch);
+    fn start_attempt(&self, node: &Node, attempt: Attempt);
     /// Drops the idle connections to a backend that has left, moved or started anew.
-    fn retire(&self, backend: BackendId);
+    fn close_idle(&self, backend: BackendId);
 }
 
 struct Driver {
@@ -69,10 +71,10 @@
 /// Work that an event has left for the network.
 #[derive(Default)]
 struct Errands {
-    launches: Vec<Launch>,
+    attempts: Vec<Attempt>,
     retired: Vec<BackendId>,
     /// Attempts on a backend that has left the list meanwhile.
-    moot: Vec<Ticket>,
+    moot: Vec<AttemptId>,
     ask: bool,
     rearm: bool,
 }
@@ -81,7 +83,7 @@
 #[derive(Clone)]
 pub struct Node {
     driver: Rc<RefCell<Driver>>,
-    launcher: Rc<dyn Launcher>,
+    transport: Rc<dyn Transport>,
     timer: Rc<Notify>,
     asked: Rc<Notify>,
     clock: Clock,
@@ -96,7 +98,7 @@
         words: NameTable,
         seed: u64,
         clock: Clock,
-        launcher: Rc<dyn Launcher>,
+        transport: Rc<dyn Transport>,
     ) -> Result<Self, SettingsError> {
         let driver = Driver {
             clock,
@@ -110,7 +112,7 @@
         };
         let driver = Rc::new(RefCell::new(driver));
         let (timer, asked, list) = Default::default();
-        let node = Self { driver, launcher, timer, asked, clock, list };
+        let node = Self { driver, transport, timer, asked, clock, list };
         node.tell(|driver, errands| driver.hear(Event::Start, errands));
         Ok(node)
     }
@@ -150,40 +152,39 @@
 
     /// Takes a request; the answer comes through what is returned. Dropping that first means that the client
     /// has gone.
-    pub fn submit(&self, asked: Asked) -> Waiting {
-        let (reply, answer) = oneshot::channel();
-        let request = self.tell(|driver, errands| driver.submit(asked, reply, errands));
-        Waiting { node: self.clone(), request, answer }
+    pub fn submit(&self, client_request: ClientRequest) -> PendingRequest {
+        let (sender, response) = oneshot::channel();
+        let request = self.tell(|driver, errands| driver.submit(client_request, sender, errands));
+        PendingRequest { node: self.clone(), request, response }
     }
 
     /// Whether an attempt may still be written: a connect can outlast its request, or the grace of a backend
     /// that has begun to drain.
-    pub fn may_write(&self, ticket: Ticket) -> bool {
+    pub fn may_send(&self, id: AttemptId) -> bool {
         let driver = self.driver.borrow();
         let (now, grace) = (driver.clock.now(), driver.settings.rules.drain_grace);
         // Half the grace: telling began before the list was read here, and the bytes have a way to go.
-        driver.requests.live(ticket.request, now)
-            && driver.backends.open_to_writes(ticket.backend, now, grace / 2)
+        driver.requests.live(id.request, now) && driver.backends.may_send_to(id.backend, now, grace / 2)
     }
 
     /// Whether any backend is known that takes requests.
-    pub fn knows_backends(&self) -> bool {
+    pub fn has_backend_in_service(&self) -> bool {
         self.driver.borrow().backends.any_in_service()
     }
 
     /// Whether a backend takes requests, at this address.
-    pub fn in_service(&self, backend: BackendId, endpoint: SocketAddr) -> bool {
-        self.driver.borrow().backends.in_service(backend, endpoint)
+    pub fn is_in_service(&self, backend: BackendId, endpoint: SocketAddr) -> bool {
+        self.driver.borrow().backends.is_in_service(backend, endpoint)
     }
 
     /// Takes the end of an attempt.
-    pub fn settled(&self, ticket: Ticket, ending: Ending) {
-        self.tell(|driver, errands| driver.settled(ticket, ending, errands));
+    pub fn attempt_ended(&self, id: AttemptId, result: UpstreamResult) {
+        self.tell(|driver, errands| driver.attempt_ended(id, result, errands));
     }
 
     /// Takes a list from discovery.
-    pub fn fleet(&self, scope: ListScope, list: Vec<Listed>) {
-        self.tell(|driver, errands| driver.fleet(scope, list, errands));
+    pub fn update_backends(&self, scope: ListScope, list: Vec<BackendEntry>) {
+        self.tell(|driver, errands| driver.update_backends(scope, list, errands));
     }
 
     /// Discovery has answered that nothing has changed.
@@ -194,19 +195,19 @@
     }
 
     /// Takes the fleet file's orders on zones. None is taken if one makes no sense here; the text says why.
-    pub fn order(&self, fleet: &Fleet) -> Result<(), String> {
-        self.tell(|driver, errands| driver.order(fleet, errands))
+    pub fn apply_zone_overrides(&self, fleet: &Fleet) -> Result<(), String> {
+        self.tell(|driver, errands| driver.apply_zone_overrides(fleet, errands))
     }
 
     /// A call to discovery has failed. A wish for one from before that, such as the one at the start, has been
     /// met by this call: kept, it would have the next call made at once, by all nodes that started together.
-    pub fn fleet_failed(&self) {
+    pub fn discovery_failed(&self) {
         std::pin::pin!(self.asked.notified()).enable();
         self.tell(|driver, errands| driver.hear(Event::DiscoveryFailed, errands));
     }
 
     /// Notes how the list stands.
-    pub fn note_list(&self, state: ListState) {
+    pub fn set_list_state(&self, state: ListState) {
         self.list.set(Some(state));
     }
 
@@ -246,10 +247,10 @@
     fn tell<T>(&self, call: impl FnOnce(&mut Driver, &mut Errands) -> T) -> T {
         let mut errands = Errands::default();
         let result = call(&mut self.driver.borrow_mut(), &mut errands);
-        errands.retired.into_iter().for_each(|backend| self.launcher.retire(backend));
-        errands.launches.into_iter().for_each(|launch| self.launcher.launch(self, launch));
-        for ticket in errands.moot {
-            self.settled(ticket, Ending::bare(Outcome::Moot));
+        errands.retired.into_iter().for_each(|backend| self.transport.close_idle(backend));
+        errands.attempts.into_iter().for_each(|attempt| self.transport.start_attempt(self, attempt));
+        for id in errands.moot {
+            self.attempt_ended(id, UpstreamResult::new(Outcome::Moot));
         }
         if errands.ask {
             self.asked.notify_one();
@@ -267,21 +268,21 @@
 pub struct UnknownTenant;
 
 /// A request that is owed its answer.
-pub struct Waiting {
+pub struct PendingRequest {
     node: Node,
     request: RequestId,
-    answer: oneshot::Receiver<Reply>,
+    response: oneshot::Receiver<FinalResponse>,
 }
 
-impl Waiting {
+impl PendingRequest {
     /// The final answer.
-    pub async fn answer(mut self) -> Reply {
+    pub async fn response(mut self) -> FinalResponse {
         // The sender is dropped unused only if the request has vanished, which promises nothing.
-        (&mut self.answer).await.unwrap_or(Reply::Failed)
+        (&mut self.response).await.unwrap_or(FinalResponse::Failed)
     }
 }
 
-impl Drop for Waiting {
+impl Drop for PendingRequest {
     /// A client that hangs up takes its connection's task with it, and so this: the one place that notices.
     fn drop(&mut self) {
         let request = self.request;
@@ -303,8 +304,10 @@
             Action::Send { request, backend, timeout, send_by } => {
                 self.send(request, backend, (timeout, send_by), errands);
             }
-            Action::Reject { request, retry_after: pause } => self.finish(request, Reply::Refused(pause)),
-            Action::Fail { request } => self.finish(request, Reply::Failed),
+            Action::Reject { request, retry_after } => {
+                self.finish(request, FinalResponse::Rejected(retry_after))
+            }
+            Action::Fail { request } => self.finish(request, FinalResponse::Failed),
             Action::Cancel { request, attempt } => self.requests.withdraw(request, attempt),
             // The settings may allow probes, but they cost the servers work and the module asks for none.
             Action::Probe { backend } => {
@@ -318,20 +321,20 @@
             Action::Timer { after, token } => {
                 self.set_timer(self.clock.now().saturating_add(after), Due::Module(token), errands);
             }
-            Action::Log(note) => self.log(note),
+            Action::Log(event) => self.log(event),
         }
     }
 
     /// The module's notes, with the names that people know.
-    fn log(&self, note: LogEvent) {
-        match note {
+    fn log(&self, event: LogEvent) {
+        match event {
             LogEvent::Spillover { home, spilling, best } => {
                 let (zone, best) = (self.words.zone_name(home), self.words.zone_name(best));
                 tracing::info!(zone, spilling, best, "home zone crossed the threshold");
             }
-            LogEvent::Ejected { backend, duration: span, cause } => {
+            LogEvent::Ejected { backend, duration, cause } => {
                 let backend = self.backends.uid(backend);
-                tracing::info!(backend, cause = ?cause, span_ms = span / 1_000_000, "backend ejected");
+                tracing::info!(backend, cause = ?cause, span_ms = duration / 1_000_000, "backend ejected");
             }
             LogEvent::SlowStart(decision) => self.log_slow_start(decision),
             LogEvent::WarmedUp { backend } => {
@@ -392,24 +395,29 @@
     fn backstop(&mut self, request: RequestId, errands: &mut Errands) {
         if self.requests.waits(request) {
             tracing::warn!(request = self.requests.call_id(request), "a request had no answer at its end");
-            self.finish(request, Reply::Failed);
+            self.finish(request, FinalResponse::Failed);
             self.hear(Event::ClientDisconnected { request }, errands);
             self.requests.forget_if_done(request);
         }
     }
 
-    fn submit(&mut self, asked: Asked, reply: oneshot::Sender<Reply>, errands: &mut Errands) -> RequestId {
-        let not_after = self.clock.now().saturating_add(asked.budget);
-        let request = self.requests.open(asked.call, reply, not_after);
+    fn submit(
+        &mut self,
+        client_request: ClientRequest,
+        sender: oneshot::Sender<FinalResponse>,
+        errands: &mut Errands,
+    ) -> RequestId {
+        let not_after = self.clock.now().saturating_add(client_request.budget);
+        let request = self.requests.open(client_request.http, sender, not_after);
         self.set_timer(not_after.saturating_add(BACKSTOP), Due::Backstop(request), errands);
-        let (class, budget_ms) = (asked.class, asked.budget / 1_000_000);
+        let (class, budget_ms) = (client_request.class, client_request.budget / 1_000_000);
         tracing::debug!(request = self.requests.call_id(request), class, budget_ms, "request taken");
         let arrival = Arrival {
             request,
             class: ClassId(class),
-            cost_hint: asked.hint,
-            is_retry: asked.repeat,
-            tenant: asked.tenant,
+            cost_hint: client_request.cost_hint,
+            is_retry: client_request.is_retry,
+            tenant: client_request.tenant,
             not_after,
         };
         self.hear(Event::Request(arrival), errands);
@@ -426,9 +434,9 @@
     ) {
         let now = self.clock.now();
         let Some(begun) = self.requests.begin(request, now) else { return };
-        let ticket = Ticket { request, attempt: begun.attempt, backend };
+        let id = AttemptId { request, attempt: begun.attempt, backend };
         let Some(endpoint) = self.backends.endpoint(backend) else {
-            errands.moot.push(ticket);
+            errands.moot.push(id);
             return;
         };
         tracing::debug!(
@@ -438,11 +446,11 @@
             "attempt sent"
         );
         let end = timeout.map_or(Nanos::MAX, |timeout| now.saturating_add(timeout));
-        errands.launches.push(Launch {
-            ticket,
+        errands.attempts.push(Attempt {
+            id,
             backend,
             endpoint,
-            call: begun.call,
+            http: begun.http,
             give_up: end.min(begun.not_after),
             not_after: begun.not_after,
             send_by: send_by.unwrap_or(Nanos::MAX),
@@ -451,19 +459,19 @@
     }
 
     /// Gives the final answer. Only the first one of a request goes out.
-    fn finish(&mut self, request: RequestId, reply: Reply) {
-        let answer = reply.word();
-        if let Some(not_after) = self.requests.finish(request, reply) {
+    fn finish(&mut self, request: RequestId, response: FinalResponse) {
+        let answer = response.word();
+        if let Some(not_after) = self.requests.finish(request, response) {
             tracing::debug!(request = self.requests.call_id(request), answer, "request ended");
             self.timers.clear(not_after.saturating_add(BACKSTOP), Due::Backstop(request));
         }
     }
 
-    fn settled(&mut self, ticket: Ticket, ending: Ending, errands: &mut Errands) {
-        let Ticket { request, attempt, backend } = ticket;
+    fn attempt_ended(&mut self, id: AttemptId, result: UpstreamResult, errands: &mut Errands) {
+        let AttemptId { request, attempt, backend } = id;
         let Some(since) = self.requests.settle(request, attempt) else { return };
         let elapsed = self.clock.now().saturating_sub(since);
-        let (outcome, report) = (ending.outcome, ending.report);
+        let (outcome, report) = (result.outcome, result.report);
         tracing::debug!(
             request = self.requests.call_id(request),
             attempt,
@@ -473,23 +481,23 @@
             "attempt ended"
         );
         if outcome == Outcome::Served {
-            self.finish(request, Reply::Served(ending.body));
+            self.finish(request, FinalResponse::Served(result.body));
         }
-        let ended = !self.requests.waits(request);
-        let settlement = AttemptResult { request, attempt, outcome, elapsed, request_ended: ended, report };
-        self.hear(Event::AttemptEnded(settlement), errands);
+        let request_ended = !self.requests.waits(request);
+        let attempt_result = AttemptResult { request, attempt, outcome, elapsed, request_ended, report };
+        self.hear(Event::AttemptEnded(attempt_result), errands);
         self.requests.forget_if_done(request);
     }
 
     fn client_gone(&mut self, request: RequestId, errands: &mut Errands) {
         if self.requests.waits(request) {
-            self.finish(request, Reply::Failed);
+            self.finish(request, FinalResponse::Failed);
             self.hear(Event::ClientDisconnected { request }, errands);
         }
         self.requests.forget_if_done(request);
     }
 
-    fn order(&mut self, fleet: &Fleet, errands: &mut Errands) -> Result<(), String> {
+    fn apply_zone_overrides(&mut self, fleet: &Fleet, errands: &mut Errands) -> Result<(), String> {
         let known: Vec<&str> =
             (0..self.settings.zone_count).map(|zone| self.words.zone_name(ZoneId(zone))).collect();
         let mut regions: Vec<&str> = vec![""];
@@ -520,7 +528,7 @@
         Ok(())
     }
 
-    fn fleet(&mut self, scope: ListScope, list: Vec<Listed>, errands: &mut Errands) {
+    fn update_backends(&mut self, scope: ListScope, list: Vec<BackendEntry>, errands: &mut Errands) {
         let now = self.clock.now();
         tracing::debug!(scope = ?scope, count = list.len(), "list taken");
         let changed = self.backends.take(scope, list, now, &mut self.words);
--- a/node/src/driver/requests.rs
+++ b/node/src/driver/requests.rs
@@ -6,7 +6,7 @@
 use brookfield::{Nanos, RequestId};
 use tokio::sync::oneshot;
 
-use super::exchange::{Call, Reply};
+use super::exchange::{FinalResponse, HttpRequest};
 
 struct Flight {
     since: Nanos,
@@ -14,8 +14,8 @@
 }
 
 struct Open {
-    reply: Option<oneshot::Sender<Reply>>,
-    call: Rc<Call>,
+    response: Option<oneshot::Sender<FinalResponse>>,
+    http: Rc<HttpRequest>,
     not_after: Nanos,
     /// Attempts by number; none where settled.
     attempts: Vec<Option<Flight>>,
@@ -27,7 +27,7 @@
     /// Its number, from 0.
     pub attempt: u32,
     /// What to send.
-    pub call: Rc<Call>,
+    pub http: Rc<HttpRequest>,
     /// When the client stops waiting.
     pub not_after: Nanos,
     /// Resolves once the attempt has been withdrawn.
@@ -43,11 +43,16 @@
 
 impl Requests {
     /// Enters a request, under a number that is used once in a node's life.
-    pub fn open(&mut self, call: Call, reply: oneshot::Sender<Reply>, not_after: Nanos) -> RequestId {
+    pub fn open(
+        &mut self,
+        http: HttpRequest,
+        response: oneshot::Sender<FinalResponse>,
+        not_after: Nanos,
+    ) -> RequestId {
         let request = RequestId(self.next);
         self.next += 1;
-        let (call, reply) = (Rc::new(call), Some(reply));
-        self.table.insert(request, Open { reply, call, not_after, attempts: Vec::new(), ended: false });
+        let (http, response) = (Rc::new(http), Some(response));
+        self.table.insert(request, Open { response, http, not_after, attempts: Vec::new(), ended: false });
         request
     }
 
@@ -57,7 +62,7 @@
         let (withdraw, withdrawn) = oneshot::channel();
         let attempt = open.attempts.len() as u32;
         open.attempts.push(Some(Flight { since: now, withdraw: Some(withdraw) }));
-        Some(Begun { attempt, call: open.call.clone(), not_after: open.not_after, withdrawn })
+        Some(Begun { attempt, http: open.http.clone(), not_after: open.not_after, withdrawn })
     }
 
     /// Tells whoever carries an attempt to stop.
@@ -78,11 +83,11 @@
 
     /// Gives the final answer, of which only the first of a request goes out. The request's time limit, or none
     /// if it waits for none.
-    pub fn finish(&mut self, request: RequestId, reply: Reply) -> Option<Nanos> {
+    pub fn finish(&mut self, request: RequestId, response: FinalResponse) -> Option<Nanos> {
         let open = self.table.get_mut(&request).filter(|open| !open.ended)?;
-        if let Some(sender) = open.reply.take() {
+        if let Some(sender) = open.response.take() {
             // The client may have gone in this very moment.
-            let _ = sender.send(reply);
+            let _ = sender.send(response);
         }
         open.ended = true;
         Some(open.not_after)
@@ -108,7 +113,7 @@
 
     /// The client's own name for a request, for the log.
     pub fn call_id(&self, request: RequestId) -> &str {
-        let header = self.table.get(&request).and_then(|open| open.call.headers.get("x-call-id"));
+        let header = self.table.get(&request).and_then(|open| open.http.headers.get("x-call-id"));
         header.and_then(|id| id.to_str().ok()).unwrap_or("-")
     }
 
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -124,18 +124,18 @@
 async fn serve(config: Config, log: Arc<log::Bound>) -> Result<(), StartError> {
     spawn_local(log.report());
     parent_process::exit_with_parent();
-    let site = brookfield_settings::parse(&config.settings).map_err(StartError::Settings)?;
+    let parsed = brookfield_settings::parse(&config.settings).map_err(StartError::Settings)?;
     let seed = u64::from_str_radix(&config.seed, 16).map_err(|_| StartError::Seed(config.seed.clone()))?;
     let (clients, backends) = shares(config.limits.sockets)?;
     let clock = Clock::start();
-    let upstream = Upstream::new(site.connections, clock, backends);
+    let upstream = Upstream::new(parsed.connections, clock, backends);
     spawn_local(Upstream::sweep(upstream.pool()));
-    let node = Node::new(site.settings, site.names, seed, clock, Rc::new(upstream))
+    let node = Node::new(parsed.settings, parsed.names, seed, clock, Rc::new(upstream))
         .map_err(|error| StartError::Settings(error.to_string()))?;
     let (discovery, addresses) = watch::channel(config.discovery);
     let fleet = read_fleet()?;
     if let Some(fleet) = &fleet {
-        node.order(fleet).map_err(StartError::Orders)?;
+        node.apply_zone_overrides(fleet).map_err(StartError::Orders)?;
     }
     let registry = fleet.and_then(|fleet| fleet.registry);
     let (replicas, replicas_are) =
@@ -208,7 +208,7 @@
         match read_fleet() {
             Ok(Some(fleet)) => {
                 // Orders that make no sense leave the last good ones in place.
-                if let Err(cause) = node.order(&fleet) {
+                if let Err(cause) = node.apply_zone_overrides(&fleet) {
                     tracing::error!(cause, "orders not taken");
                 }
                 // Whether there is a registry is settled at the start.
--- a/node/src/os_error.rs
+++ b/node/src/os_error.rs
@@ -21,7 +21,7 @@
 
 /// Whether an accept failed for the one connection that it took from the queue, which `accept(2)` says to pass over:
 /// others wait behind it.
-pub fn is_of_one_connection(error: &Error) -> bool {
+pub fn is_per_connection(error: &Error) -> bool {
     let one = [
         Errno::CONNABORTED,
         Errno::INTR,
--- a/node/src/os_error/tests.rs
+++ b/node/src/os_error/tests.rs
@@ -21,11 +21,11 @@
 #[test]
 fn an_accept_waits_for_a_shortage_and_not_for_one_connection() {
     for one in [Errno::CONNABORTED, Errno::INTR, Errno::PROTO, Errno::PERM, Errno::HOSTUNREACH] {
-        assert!(is_of_one_connection(&error(one)) && !is_shortage(&error(one)), "{one:?}");
+        assert!(is_per_connection(&error(one)) && !is_shortage(&error(one)), "{one:?}");
     }
     for short in [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM] {
-        assert!(!is_of_one_connection(&error(short)), "{short:?}");
+        assert!(!is_per_connection(&error(short)), "{short:?}");
     }
     // Of a listener that is no good the next accept would fail at once, for ever.
-    assert!(!is_of_one_connection(&error(Errno::BADF)) && !is_of_one_connection(&error(Errno::INVAL)));
+    assert!(!is_per_connection(&error(Errno::BADF)) && !is_per_connection(&error(Errno::INVAL)));
 }
--- a/node/src/registry.rs
+++ b/node/src/registry.rs
@@ -56,7 +56,7 @@
         known: Option<List>,
     ) -> Self {
         if let Some(list) = known {
-            node.fleet(ListScope::Cached, list.listed());
+            node.update_backends(ListScope::Cached, list.listed());
         }
         let mut luck = Xoshiro256PlusPlus::seed_from_u64(seed);
         let links: Vec<HttpClient> = addresses.borrow().iter().map(|at| HttpClient::new(*at)).collect();
@@ -96,11 +96,11 @@
     }
 
     fn note(&self) {
-        self.node.note_list(ListState {
+        self.node.set_list_state(ListState {
             rev: self.follower.rev(),
             as_of: self.follower.as_of().map(|as_of| self.began + as_of),
             replica: self.links[self.follower.replica()].address(),
-            away_since: self.away.map(|(since, _)| self.began + since),
+            unreachable_since: self.away.map(|(since, _)| self.began + since),
         });
     }
 
@@ -117,7 +117,7 @@
         }
         let lines = list.listed();
         if let Some(scope) = scope.filter(|scope| *scope == ListScope::Full || !lines.is_empty()) {
-            self.node.fleet(scope, lines);
+            self.node.update_backends(scope, lines);
         }
     }
 
--- a/node/src/server/handler.rs
+++ b/node/src/server/handler.rs
@@ -13,8 +13,8 @@
 use tokio::time::{Instant, timeout_at};
 
 use super::phase::ShutdownPhase;
-use crate::driver::{Asked, Call, Node, Reply};
-use crate::upstream::MAX_BODY;
+use crate::driver::{ClientRequest, FinalResponse, HttpRequest, Node};
+use crate::upstream::MAX_BODY_BYTES;
 
 /// Part of a client's time budget that is set aside for the network between client and node: a response sent at the very
 /// end of the budget would arrive too late.
@@ -91,7 +91,7 @@
         }
         "/health/ready" if !serving() => plain_response(StatusCode::SERVICE_UNAVAILABLE, "shutting down"),
         // Without a backend every request would be rejected.
-        "/health/ready" if !node.knows_backends() => {
+        "/health/ready" if !node.has_backend_in_service() => {
             plain_response(StatusCode::SERVICE_UNAVAILABLE, "no backend known yet")
         }
         "/health/ready" => plain_response(StatusCode::OK, "ready"),
@@ -110,7 +110,7 @@
 fn list_status(node: &Node) -> String {
     let Some(list) = node.list_state() else { return String::new() };
     let elapsed_ms = |at: Option<Instant>| at.map(|at| at.elapsed().as_millis() as u64);
-    serde_json::json!({"rev": list.rev, "age_ms": elapsed_ms(list.as_of), "away_ms": elapsed_ms(list.away_since),
+    serde_json::json!({"rev": list.rev, "age_ms": elapsed_ms(list.as_of), "away_ms": elapsed_ms(list.unreachable_since),
         "replica": list.replica.to_string()})
     .to_string()
 }
@@ -137,7 +137,7 @@
     let budget = parse_u64(X_BUDGET_MS, required_header(headers, X_BUDGET_MS)?)?;
     let cost_hint =
         optional_header(headers, X_CALL_COST)?.map(|text| parse_u64(X_CALL_COST, text)).transpose()?;
-    let repeat = optional_header(headers, X_AGAIN)? == Some("1");
+    let is_retry = optional_header(headers, X_AGAIN)? == Some("1");
     let body = read_body(body, read_deadline).await?;
     if idempotency == Idempotency::Idempotent && !body.is_empty() {
         return Err(RequestError::NotAllowed("request body"));
@@ -149,15 +149,20 @@
     let budget = remaining_budget(budget, deadline, elapsed);
     let time_to_deadline =
         response_deadline.map(|at| at.saturating_duration_since(Instant::now()).as_nanos() as Nanos);
-    let asked = Asked {
+    let client_request = ClientRequest {
         class,
         tenant,
-        hint: cost_hint.map(|micros| micros.saturating_mul(1000)),
-        repeat,
+        cost_hint: cost_hint.map(|micros| micros.saturating_mul(1000)),
+        is_retry,
         budget: time_to_deadline.map_or(budget, |limit| budget.min(limit)),
-        call: Call { method: head.method, target: head.uri, headers: remove_hop_by_hop(head.headers), body },
+        http: HttpRequest {
+            method: head.method,
+            target: head.uri,
+            headers: remove_hop_by_hop(head.headers),
+            body,
+        },
     };
-    Ok(to_response(node.submit(asked).answer().await))
+    Ok(to_response(node.submit(client_request).response().await))
 }
 
 /// The time left of a client's budget, which is capped at its class's deadline.
@@ -169,7 +174,7 @@
 }
 
 async fn read_body(body: Incoming, read_deadline: Instant) -> Result<Bytes, RequestError> {
-    match timeout_at(read_deadline, Limited::new(body, MAX_BODY).collect()).await {
+    match timeout_at(read_deadline, Limited::new(body, MAX_BODY_BYTES).collect()).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(RequestError::BodyTooLarge),
         Ok(Err(_)) | Err(_) => Err(RequestError::BodyIncomplete),
@@ -235,10 +240,10 @@
     headers
 }
 
-fn to_response(reply: Reply) -> HttpResponse {
-    match reply {
-        Reply::Served(body) => Response::new(Full::new(body)),
-        Reply::Refused(retry_after) => {
+fn to_response(final_response: FinalResponse) -> HttpResponse {
+    match final_response {
+        FinalResponse::Served(body) => Response::new(Full::new(body)),
+        FinalResponse::Rejected(retry_after) => {
             let mut response = plain_response(StatusCode::SERVICE_UNAVAILABLE, "rejected; safe to retry");
             if retry_after > 0 {
                 // Rounded up, so that the client does not retry too early.
@@ -250,7 +255,7 @@
             }
             response
         }
-        Reply::Failed => plain_response(StatusCode::BAD_GATEWAY, "failed"),
+        FinalResponse::Failed => plain_response(StatusCode::BAD_GATEWAY, "failed"),
     }
 }
 
--- a/node/src/server/mod.rs
+++ b/node/src/server/mod.rs
@@ -21,8 +21,8 @@
 use tokio::time::sleep;
 
 use crate::driver::Node;
-use crate::os_error::is_of_one_connection;
-use crate::upstream::without_delay;
+use crate::os_error::is_per_connection;
+use crate::upstream::set_nodelay;
 pub use phase::ShutdownPhase;
 
 /// How long the node goes on accepting after the last connection was closed during a shutdown.
@@ -83,7 +83,7 @@
                     );
                 }
                 // Only this connection is affected; the next accept may succeed.
-                Err(error) if is_of_one_connection(&error) => {
+                Err(error) if is_per_connection(&error) => {
                     tracing::debug!(cause = %error, "client connection failed before it was accepted");
                     yield_now().await;
                 }
@@ -124,7 +124,7 @@
     let (node, phase) = (node.clone(), phase.clone());
     spawn_local(async move {
         let _guard = guard;
-        without_delay(&stream);
+        set_nodelay(&stream);
         connection::serve(stream, node, phase, slots_scarce).await;
     });
 }
--- a/node/src/server/tests.rs
+++ b/node/src/server/tests.rs
@@ -4,7 +4,7 @@
 use super::handler::remaining_budget;
 use super::*;
 use crate::driver;
-use crate::driver::tests::{SECOND, listed};
+use crate::driver::tests::{SECOND, backend_entry};
 use brookfield::{ListScope, Nanos, Stage};
 use tokio::time::Instant;
 
@@ -94,8 +94,8 @@
 /// Guards against a request that arrives late in a shutdown and is still pending when the process is killed.
 #[tokio::test(start_paused = true)]
 async fn a_request_during_shutdown_is_answered_by_the_response_deadline() {
-    let (node, _launcher) = driver::tests::node(SECOND);
-    node.fleet(ListScope::Full, vec![listed("s", Stage::InService)]);
+    let (node, _transport) = driver::tests::node(SECOND);
+    node.update_backends(ListScope::Full, vec![backend_entry("s", Stage::InService)]);
     let (mut peer, stream) = tokio::io::duplex(4096);
     let response_deadline = Instant::now() + Duration::from_millis(300);
     let (_phase, phases) = watch::channel(ShutdownPhase::Closing { response_deadline });
@@ -119,7 +119,7 @@
 /// Guards against dropping a connection because setting `TCP_NODELAY` failed.
 #[tokio::test]
 async fn a_connection_without_tcp_options_is_served() {
-    let (mut peer, stream) = driver::tests::optionless();
+    let (mut peer, stream) = driver::tests::stream_without_nodelay();
     let slot = Arc::new(Semaphore::new(1)).acquire_owned().await.expect("a slot");
     let (_phase, phases) = watch::channel(ShutdownPhase::Serving);
     let (node, _) = driver::tests::node(0);
@@ -243,8 +243,8 @@
     let pipelined = ["", "POST /api HTTP/1.1\r\nX-Call-Id: 2", API_REQUEST, "\r\n"];
     for input in pipelined {
         for delayed in [false, true] {
-            let (node, launcher) = driver::tests::node(SECOND);
-            node.fleet(ListScope::Full, vec![listed("s", Stage::InService)]);
+            let (node, transport) = driver::tests::node(SECOND);
+            node.update_backends(ListScope::Full, vec![backend_entry("s", Stage::InService)]);
             let (mut peer, stream) = tokio::io::duplex(4096);
             let (_phase, phases) = watch::channel(ShutdownPhase::Serving);
             let client = async {
@@ -254,8 +254,8 @@
                 }
                 peer.write_all(input.as_bytes()).await.expect("write succeeds");
                 sleep(Duration::from_millis(10)).await;
-                assert_eq!(launcher.launches.borrow().len(), 1);
-                assert!(node.may_write(launcher.launches.borrow()[0].ticket), "the attempt is pending");
+                assert_eq!(transport.attempts.borrow().len(), 1);
+                assert!(node.may_send(transport.attempts.borrow()[0].id), "the attempt is pending");
                 let closed_at = Instant::now();
                 drop(peer);
                 closed_at
@@ -273,8 +273,8 @@
                 "{input:?}: {:?} later",
                 noticed_at - closed_at
             );
-            assert_eq!(launcher.launches.borrow().len(), 1, "{input:?}: nothing more is forwarded");
-            assert!(!node.may_write(launcher.launches.borrow()[0].ticket), "{input:?}");
+            assert_eq!(transport.attempts.borrow().len(), 1, "{input:?}: nothing more is forwarded");
+            assert!(!node.may_send(transport.attempts.borrow()[0].id), "{input:?}");
         }
     }
 }
@@ -282,8 +282,8 @@
 /// Guards against unbounded memory for a peer that keeps sending while its request is pending.
 #[tokio::test(start_paused = true)]
 async fn read_ahead_is_bounded() {
-    let (node, _launcher) = driver::tests::node(SECOND);
-    node.fleet(ListScope::Full, vec![listed("s", Stage::InService)]);
+    let (node, _transport) = driver::tests::node(SECOND);
+    node.update_backends(ListScope::Full, vec![backend_entry("s", Stage::InService)]);
     let (mut peer, stream) = tokio::io::duplex(1024);
     let (_phase, phases) = watch::channel(ShutdownPhase::Serving);
     let mut sent = 0;
@@ -310,9 +310,12 @@
     let links =
         brookfield_settings::ConnectionSettings { idle_timeout: 60 * SECOND, connect_timeout: SECOND };
     let upstream = crate::upstream::Upstream::new(links, driver::Clock::start(), 8);
-    let launcher = Rc::new(driver::tests::Crossed { upstream, crossing: Default::default() });
-    let node = driver::tests::node_over(SECOND, "pushed", launcher.clone());
-    node.fleet(ListScope::Full, vec![driver::Listed { endpoint, ..listed("s", Stage::InService) }]);
+    let transport = Rc::new(driver::tests::HookedUpstream { upstream, before_attempt: Default::default() });
+    let node = driver::tests::node_with_transport(SECOND, "pushed", transport.clone());
+    node.update_backends(
+        ListScope::Full,
+        vec![driver::BackendEntry { endpoint, ..backend_entry("s", Stage::InService) }],
+    );
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let at = listener.local_addr().expect("its address");
     let (_phase, phases) = watch::channel(ShutdownPhase::Serving);
@@ -344,7 +347,7 @@
                 continue;
             }
             let (disconnect_signal, disconnected) = std::sync::mpsc::channel::<()>();
-            launcher.crossing.replace(Some(Box::new(move || {
+            transport.before_attempt.replace(Some(Box::new(move || {
                 client.set_nonblocking(true).expect("not blocking");
                 assert!(client.read(&mut [0]).is_err(), "no response yet");
                 drop((client, disconnect_signal));
@@ -369,8 +372,8 @@
     use std::io::Write;
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let at = listener.local_addr().expect("its address");
-    let (node, launcher) = driver::tests::node(SECOND);
-    node.fleet(ListScope::Full, vec![listed("s", Stage::InService)]);
+    let (node, transport) = driver::tests::node(SECOND);
+    node.update_backends(ListScope::Full, vec![backend_entry("s", Stage::InService)]);
     let (_phase, phases) = watch::channel(ShutdownPhase::Serving);
     let ask = |id: &str| {
         let mut client = std::net::TcpStream::connect(at).expect("a connection");
@@ -385,14 +388,14 @@
     let work = async {
         spawn_local(run(listener, node.clone(), 8, phases));
         // Connections are accepted in order of arrival.
-        while launcher.launches.borrow().is_empty() {
+        while transport.attempts.borrow().is_empty() {
             tokio::task::yield_now().await;
         }
     };
     tokio::task::LocalSet::new().run_until(work).await;
-    let launches = launcher.launches.borrow();
-    assert_eq!(launches[0].call.headers["x-call-id"], "d");
-    assert_eq!(launches.len(), 1);
+    let attempts = transport.attempts.borrow();
+    assert_eq!(attempts[0].http.headers["x-call-id"], "d");
+    assert_eq!(attempts.len(), 1);
     drop(last);
 }
 
@@ -450,18 +453,18 @@
 #[tokio::test(start_paused = true)]
 async fn a_response_in_transit_is_completed_when_the_node_closes() {
     const BODY: usize = 60_000;
-    let (node, launcher) = driver::tests::node(SECOND);
-    node.fleet(ListScope::Full, vec![listed("s", Stage::InService)]);
+    let (node, transport) = driver::tests::node(SECOND);
+    node.update_backends(ListScope::Full, vec![backend_entry("s", Stage::InService)]);
     let (mut peer, stream) = tokio::io::duplex(1024);
     let (phase, phases) = watch::channel(ShutdownPhase::Serving);
     let client = async {
         peer.write_all(with_budget(API_REQUEST, 3000).as_bytes()).await.expect("write succeeds");
         sleep(Duration::from_millis(10)).await;
-        let launch = launcher.launches.borrow_mut().pop().expect("an attempt");
+        let attempt = transport.attempts.borrow_mut().pop().expect("an attempt");
         let body = bytes::Bytes::from(vec![b'x'; BODY]);
-        node.settled(
-            launch.ticket,
-            driver::Ending { body, ..driver::Ending::bare(brookfield::Outcome::Served) },
+        node.attempt_ended(
+            attempt.id,
+            driver::UpstreamResult { body, ..driver::UpstreamResult::new(brookfield::Outcome::Served) },
         );
         sleep(Duration::from_millis(10)).await;
         phase.send_replace(closing());
--- a/node/src/upstream.rs
+++ b/node/src/upstream.rs
@@ -21,11 +21,11 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{sleep, sleep_until, timeout};
 
-use crate::driver::{Clock, Ending, Launch, Launcher, Node};
+use crate::driver::{Attempt, Clock, Node, Transport, UpstreamResult};
 use crate::os_error::is_local;
 
 /// No body is larger, either way.
-pub const MAX_BODY: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 /// An idle connection is kept for this part of the backends' limit: one that is written to as its backend
 /// closes it ends as a reset, and what was sent on it may have run.
 const IDLE_PART: u64 = 2;
@@ -95,7 +95,7 @@
     /// Open connections, idle or not.
     open: Rc<Cell<usize>>,
     most: usize,
-    links: ConnectionSettings,
+    settings: ConnectionSettings,
     clock: Clock,
 }
 
@@ -120,9 +120,9 @@
 
 impl Upstream {
     /// At most `most` connections are open together.
-    pub fn new(links: ConnectionSettings, clock: Clock, most: usize) -> Self {
+    pub fn new(settings: ConnectionSettings, clock: Clock, most: usize) -> Self {
         let (idle, open) = (RefCell::default(), Rc::default());
-        Self(Rc::new(Pool { idle, open, most, links, clock }))
+        Self(Rc::new(Pool { idle, open, most, settings, clock }))
     }
 
     /// Closes what has been idle for too long; never ends.
@@ -141,46 +141,46 @@
 
 /// Has small writes go out at once. A connection that does not take the option still carries requests, if later:
 /// that is no reason to lose them.
-pub fn without_delay(stream: &TcpStream) {
+pub fn set_nodelay(stream: &TcpStream) {
     if let Err(error) = stream.set_nodelay(true) {
         tracing::debug!(cause = %error, "small writes may be held back");
     }
 }
 
-impl Launcher for Upstream {
-    fn launch(&self, node: &Node, launch: Launch) {
+impl Transport for Upstream {
+    fn start_attempt(&self, node: &Node, attempt: Attempt) {
         let (pool, node) = (self.0.clone(), node.clone());
-        spawn_local(async move { pool.run(node, launch).await });
+        spawn_local(async move { pool.run(node, attempt).await });
     }
 
-    fn retire(&self, backend: BackendId) {
+    fn close_idle(&self, backend: BackendId) {
         self.0.idle.borrow_mut().retain(|place, _| place.0 != backend);
     }
 }
 
 impl Pool {
-    async fn run(&self, node: Node, launch: Launch) {
-        let ticket = launch.ticket;
-        let ending = self.end_of(&node, launch).await;
-        node.settled(ticket, ending);
+    async fn run(&self, node: Node, attempt: Attempt) {
+        let id = attempt.id;
+        let result = self.end_of(&node, attempt).await;
+        node.attempt_ended(id, result);
     }
 
-    async fn end_of(&self, node: &Node, mut launch: Launch) -> Ending {
+    async fn end_of(&self, node: &Node, mut attempt: Attempt) -> UpstreamResult {
         let (written, connecting) = (Cell::new(false), Cell::new(None));
-        let withdrawn = std::mem::replace(&mut launch.withdrawn, tokio::sync::oneshot::channel().1);
+        let withdrawn = std::mem::replace(&mut attempt.withdrawn, tokio::sync::oneshot::channel().1);
         // Never written, it never ran: a refusal is still open to the module then.
         let unless_written = |outcome| if written.get() { outcome } else { Outcome::Moot };
         let over = async {
-            sleep_until(self.clock.instant(launch.give_up.min(launch.send_by))).await;
+            sleep_until(self.clock.instant(attempt.give_up.min(attempt.send_by))).await;
             if written.get() {
-                sleep_until(self.clock.instant(launch.give_up)).await;
+                sleep_until(self.clock.instant(attempt.give_up)).await;
             }
         };
         tokio::select! {
             biased;
-            _ = withdrawn => Ending::bare(unless_written(Outcome::Cancelled)),
-            ending = self.attempt(node, &launch, &written, &connecting) => ending,
-            () = over => Ending::bare(match connecting.get() {
+            _ = withdrawn => UpstreamResult::new(unless_written(Outcome::Cancelled)),
+            result = self.exchange(node, &attempt, &written, &connecting) => result,
+            () = over => UpstreamResult::new(match connecting.get() {
                 Some(since) if self.is_silent(since) => Outcome::ConnectFailed,
                 _ => unless_written(Outcome::TimedOut),
             }),
@@ -190,18 +190,18 @@
     /// Whether a connection begun then should long be up. Requests are often given up sooner than connections:
     /// nobody would ever learn of a machine that says nothing.
     fn is_silent(&self, since: Nanos) -> bool {
-        self.clock.now().saturating_sub(since) >= self.links.connect_timeout / SILENT_PART
+        self.clock.now().saturating_sub(since) >= self.settings.connect_timeout / SILENT_PART
     }
 
     /// Tells by `written` whether the request has been, and by `connecting` since when a connection is coming up.
-    async fn attempt(
+    async fn exchange(
         &self,
         node: &Node,
-        launch: &Launch,
+        attempt: &Attempt,
         written: &Cell<bool>,
         connecting: &Cell<Option<Nanos>>,
-    ) -> Ending {
-        let place = (launch.backend, launch.endpoint);
+    ) -> UpstreamResult {
+        let place = (attempt.backend, attempt.endpoint);
         loop {
             let (mut link, fresh) = match self.take(place) {
                 Some(Taken::Link(link)) => (link, false),
@@ -209,24 +209,24 @@
                 Some(Taken::Settles(at)) => {
                     sleep_until(self.clock.instant(at)).await;
                     // Others wait for it as well.
-                    if !node.may_write(launch.ticket) {
-                        return Ending::bare(Outcome::Moot);
+                    if !node.may_send(attempt.id) {
+                        return UpstreamResult::new(Outcome::Moot);
                     }
                     continue;
                 }
                 // Short of descriptors nobody was asked: that says nothing against the backend.
                 None => match self.slot() {
-                    None => return Ending::bare(Outcome::Moot),
+                    None => return UpstreamResult::new(Outcome::Moot),
                     Some(slot) => {
                         connecting.set(Some(self.clock.now()));
-                        let link = self.connect(launch.endpoint, slot).await;
+                        let link = self.connect(attempt.endpoint, slot).await;
                         connecting.set(None);
                         match link {
                             Ok(link) => (link, true),
                             Err(error) => {
-                                let backend = launch.endpoint;
+                                let backend = attempt.endpoint;
                                 tracing::debug!(%backend, cause = %error, "no connection to a backend");
-                                return Ending::bare(error.outcome());
+                                return UpstreamResult::new(error.outcome());
                             }
                         }
                     }
@@ -238,53 +238,59 @@
             // A pooled connection found dead before anything was written to it costs nothing: the next one.
             if link.ready().await.is_err() {
                 if fresh {
-                    return Ending::bare(Outcome::ConnectFailed);
+                    return UpstreamResult::new(Outcome::ConnectFailed);
                 }
                 continue;
             }
             // The connect may have outlasted the request, or the backend's place on the list.
-            if !node.may_write(launch.ticket) || self.clock.now() >= launch.send_by {
+            if !node.may_send(attempt.id) || self.clock.now() >= attempt.send_by {
                 self.keep(node, place, link);
-                return Ending::bare(Outcome::Moot);
+                return UpstreamResult::new(Outcome::Moot);
             }
-            let Some(message) = self.message(launch) else { return Ending::bare(Outcome::Moot) };
+            let Some(message) = self.message(attempt) else { return UpstreamResult::new(Outcome::Moot) };
             written.set(true);
             match link.try_send_request(message).await {
                 Ok(response) => return self.read(node, place, link, response).await,
                 // The message comes back only if not a byte of it was written.
                 Err(mut error) => match error.take_message() {
                     Some(_) => written.set(false),
-                    None => return Ending::bare(Outcome::Reset),
+                    None => return UpstreamResult::new(Outcome::Reset),
                 },
             }
             if fresh {
-                return Ending::bare(Outcome::ConnectFailed);
+                return UpstreamResult::new(Outcome::ConnectFailed);
             }
         }
     }
 
-    fn message(&self, launch: &Launch) -> Option<Request<Full<Bytes>>> {
-        let call = &launch.call;
-        let left = launch.give_up.min(launch.not_after).saturating_sub(self.clock.now()) / 1_000_000;
-        let mut message = Request::new(Full::new(call.body.clone()));
-        *message.method_mut() = call.method.clone();
-        *message.uri_mut() = call.target.clone();
-        *message.headers_mut() = call.headers.clone();
+    fn message(&self, attempt: &Attempt) -> Option<Request<Full<Bytes>>> {
+        let http = &attempt.http;
+        let left = attempt.give_up.min(attempt.not_after).saturating_sub(self.clock.now()) / 1_000_000;
+        let mut message = Request::new(Full::new(http.body.clone()));
+        *message.method_mut() = http.method.clone();
+        *message.uri_mut() = http.target.clone();
+        *message.headers_mut() = http.headers.clone();
         let headers = message.headers_mut();
         headers.insert("x-budget-ms", HeaderValue::from(left));
         if !headers.contains_key(HOST) {
-            headers.insert(HOST, HeaderValue::from_str(&launch.endpoint.to_string()).ok()?);
+            headers.insert(HOST, HeaderValue::from_str(&attempt.endpoint.to_string()).ok()?);
         }
         Some(message)
     }
 
-    async fn read(&self, node: &Node, place: Place, link: Link, response: Response<Incoming>) -> Ending {
+    async fn read(
+        &self,
+        node: &Node,
+        place: Place,
+        link: Link,
+        response: Response<Incoming>,
+    ) -> UpstreamResult {
         let (head, body) = response.into_parts();
         let report = load_report(&head.headers);
         let rejected = head.headers.get("x-rejected").is_some_and(|value| value == "1");
         // With neither a length nor chunks an answer ends with its connection, and one cut short looks whole.
         let framed = body.size_hint().exact().is_some() || head.headers.contains_key(TRANSFER_ENCODING);
-        let whole = Limited::new(body, MAX_BODY).collect().await.ok().filter(|_| framed);
+        let whole = Limited::new(body, MAX_BODY_BYTES).collect().await.ok().filter(|_| framed);
         let body = whole.map(|whole| whole.to_bytes());
         if body.is_some() {
             self.keep(node, place, link);
@@ -296,7 +302,7 @@
             // Whatever the status says, the request may have run.
             _ => Outcome::Error,
         };
-        Ending { outcome, report, body: body.unwrap_or_default() }
+        UpstreamResult { outcome, report, body: body.unwrap_or_default() }
     }
 
     /// An idle connection; the one used last, so that those in excess grow old, of those that have settled.
@@ -314,12 +320,12 @@
     /// Whether an idle connection may still be used.
     fn is_good(&self, idle: &Idle) -> bool {
         let age = self.clock.now().saturating_sub(idle.since);
-        !idle.link.is_closed() && age < self.links.idle_timeout / IDLE_PART
+        !idle.link.is_closed() && age < self.settings.idle_timeout / IDLE_PART
     }
 
     /// Back to the pool, unless its backend has left or moved since: nobody would take it from there.
     fn keep(&self, node: &Node, place: Place, link: Link) {
-        if !link.is_closed() && node.in_service(place.0, place.1) {
+        if !link.is_closed() && node.is_in_service(place.0, place.1) {
             self.idle.borrow_mut().entry(place).or_default().push(Idle { link, since: self.clock.now() });
         }
     }
@@ -334,10 +340,10 @@
     }
 
     async fn connect(&self, endpoint: SocketAddr, counted: Counted) -> Result<Link, ConnectError> {
-        let limit = Duration::from_nanos(self.links.connect_timeout);
+        let limit = Duration::from_nanos(self.settings.connect_timeout);
         let stream = timeout(limit, TcpStream::connect(endpoint)).await.map_err(|_| ConnectError::Silent)?;
         let stream = stream.map_err(ConnectError::from)?;
-        without_delay(&stream);
+        set_nodelay(&stream);
         let (link, connection) = handshake(TokioIo::new(stream)).await?;
         spawn_local(async move {
             let _counted = counted;
--- a/node/src/upstream/tests.rs
+++ b/node/src/upstream/tests.rs
@@ -5,20 +5,22 @@
 use tokio::net::TcpSocket;
 
 use super::*;
-use crate::driver::tests::{Crossed, SECOND, asked, listed, node, node_over};
-use crate::driver::{Listed, Reply, Waiting};
+use crate::driver::tests::{
+    HookedUpstream, SECOND, backend_entry, client_request, node, node_with_transport,
+};
+use crate::driver::{BackendEntry, FinalResponse, PendingRequest};
 
 /// The node's own want of descriptors once counted against the backends, and ejected good ones.
 #[tokio::test]
 async fn out_of_connections_nobody_is_to_blame() {
-    let (node, kept) = node(SECOND);
-    node.fleet(ListScope::Full, vec![listed("s", Stage::InService)]);
-    let _waiting = node.submit(asked(60 * SECOND));
-    let launch = kept.launches.borrow_mut().pop().expect("an attempt");
-    let links = ConnectionSettings { idle_timeout: SECOND, connect_timeout: SECOND };
-    let upstream = Upstream::new(links, Clock::start(), 0);
-    let ending = upstream.pool().attempt(&node, &launch, &Cell::default(), &Cell::default()).await;
-    assert_eq!(ending.outcome, Outcome::Moot);
+    let (node, transport) = node(SECOND);
+    node.update_backends(ListScope::Full, vec![backend_entry("s", Stage::InService)]);
+    let _waiting = node.submit(client_request(60 * SECOND));
+    let attempt = transport.attempts.borrow_mut().pop().expect("an attempt");
+    let settings = ConnectionSettings { idle_timeout: SECOND, connect_timeout: SECOND };
+    let upstream = Upstream::new(settings, Clock::start(), 0);
+    let result = upstream.pool().exchange(&node, &attempt, &Cell::default(), &Cell::default()).await;
+    assert_eq!(result.outcome, Outcome::Moot);
 }
 
 /// A node that had run out of local ports held it against every backend that it tried, and ejected healthy ones.
@@ -38,23 +40,28 @@
 async fn a_connection_that_never_comes_up_counts_also_if_the_request_ends_first() {
     let (listener, _queue) = silent().await;
     let endpoint = listener.local_addr().expect("its address");
-    let (node, mut launch, _held) = launched(endpoint);
-    launch.give_up = node.clock().now() + SECOND / 4;
-    let links = ConnectionSettings { idle_timeout: SECOND, connect_timeout: SECOND };
-    let upstream = Upstream::new(links, node.clock(), 8);
-    let ending = upstream.pool().end_of(&node, launch).await;
-    assert_eq!(ending.outcome, Outcome::ConnectFailed);
+    let (node, mut attempt, _held) = node_with_attempt(endpoint);
+    attempt.give_up = node.clock().now() + SECOND / 4;
+    let settings = ConnectionSettings { idle_timeout: SECOND, connect_timeout: SECOND };
+    let upstream = Upstream::new(settings, node.clock(), 8);
+    let result = upstream.pool().end_of(&node, attempt).await;
+    assert_eq!(result.outcome, Outcome::ConnectFailed);
 }
 
 /// A node and its attempt at a backend there, and what keeps the attempt from being withdrawn.
-fn launched(endpoint: SocketAddr) -> (Node, Launch, (Waiting, tokio::sync::oneshot::Sender<()>)) {
-    let (node, kept) = node(SECOND);
-    node.fleet(ListScope::Full, vec![Listed { endpoint, ..listed("s", Stage::InService) }]);
-    let waiting = node.submit(asked(60 * SECOND));
-    let mut launch = kept.launches.borrow_mut().pop().expect("an attempt");
+fn node_with_attempt(
+    endpoint: SocketAddr,
+) -> (Node, Attempt, (PendingRequest, tokio::sync::oneshot::Sender<()>)) {
+    let (node, transport) = node(SECOND);
+    node.update_backends(
+        ListScope::Full,
+        vec![BackendEntry { endpoint, ..backend_entry("s", Stage::InService) }],
+    );
+    let waiting = node.submit(client_request(60 * SECOND));
+    let mut attempt = transport.attempts.borrow_mut().pop().expect("an attempt");
     let (withdraw, withdrawn) = tokio::sync::oneshot::channel();
-    launch.withdrawn = withdrawn;
-    (node, launch, (waiting, withdraw))
+    attempt.withdrawn = withdrawn;
+    (node, attempt, (waiting, withdraw))
 }
 
 /// A listener whose queue is full: it says nothing to further connections until it accepts.
@@ -81,16 +88,16 @@
 async fn a_repeat_whose_connection_comes_up_past_its_window_is_not_written() {
     let (listener, queue) = silent().await;
     let endpoint = listener.local_addr().expect("its address");
-    let (node, mut launch, _held) = launched(endpoint);
-    launch.send_by = node.clock().now() + SECOND / 4;
-    let links = ConnectionSettings { idle_timeout: SECOND, connect_timeout: 20 * SECOND };
-    let upstream = Upstream::new(links, node.clock(), 8);
+    let (node, mut attempt, _held) = node_with_attempt(endpoint);
+    attempt.send_by = node.clock().now() + SECOND / 4;
+    let settings = ConnectionSettings { idle_timeout: SECOND, connect_timeout: 20 * SECOND };
+    let upstream = Upstream::new(settings, node.clock(), 8);
     let pool = upstream.pool();
     let work = async {
         let attempt = async {
             let began = node.clock().now();
-            let ending = pool.end_of(&node, launch).await;
-            (ending, node.clock().now() - began)
+            let result = pool.end_of(&node, attempt).await;
+            (result, node.clock().now() - began)
         };
         // From now on connections come up, this one when its system asks again.
         drop(queue);
@@ -106,8 +113,8 @@
         };
         tokio::join!(attempt, taken)
     };
-    let ((ending, took), bytes) = tokio::task::LocalSet::new().run_until(work).await;
-    assert_eq!((ending.outcome, bytes), (Outcome::Moot, 0));
+    let ((result, took), bytes) = tokio::task::LocalSet::new().run_until(work).await;
+    assert_eq!((result.outcome, bytes), (Outcome::Moot, 0));
     // The system asks again after a second: nobody waits for that.
     assert!(took < SECOND * 9 / 10, "{took}");
 }
@@ -141,20 +148,23 @@
 }
 
 /// Two requests to one backend, the second over the connection that the first has left, if it still is any good. The
-/// crossing happens to that connection as the second is launched.
-async fn second_answer(crossing: impl FnOnce(std::net::TcpStream) + 'static) -> Reply {
+/// event happens to that connection as the second is launched.
+async fn second_answer(event: impl FnOnce(std::net::TcpStream) + 'static) -> FinalResponse {
     let (endpoint, connections) = answering("right");
-    let links = ConnectionSettings { idle_timeout: 60 * SECOND, connect_timeout: SECOND };
-    let upstream = Upstream::new(links, Clock::start(), 8);
-    let crossed = Rc::new(Crossed { upstream, crossing: RefCell::default() });
-    let node = node_over(SECOND, "pushed", crossed.clone());
-    node.fleet(ListScope::Full, vec![Listed { endpoint, ..listed("s", Stage::InService) }]);
+    let settings = ConnectionSettings { idle_timeout: 60 * SECOND, connect_timeout: SECOND };
+    let upstream = Upstream::new(settings, Clock::start(), 8);
+    let transport = Rc::new(HookedUpstream { upstream, before_attempt: RefCell::default() });
+    let node = node_with_transport(SECOND, "pushed", transport.clone());
+    node.update_backends(
+        ListScope::Full,
+        vec![BackendEntry { endpoint, ..backend_entry("s", Stage::InService) }],
+    );
     let work = async {
-        let first = node.submit(asked(60 * SECOND)).answer().await;
-        assert!(matches!(first, Reply::Served(body) if body == "right"));
+        let first = node.submit(client_request(60 * SECOND)).response().await;
+        assert!(matches!(first, FinalResponse::Served(body) if body == "right"));
         let connection = connections.recv().expect("a connection");
-        crossed.crossing.replace(Some(Box::new(move || crossing(connection))));
-        node.submit(asked(60 * SECOND)).answer().await
+        transport.before_attempt.replace(Some(Box::new(move || event(connection))));
+        node.submit(client_request(60 * SECOND)).response().await
     };
     tokio::task::LocalSet::new().run_until(work).await
 }
@@ -163,20 +173,20 @@
 /// that one.
 #[tokio::test]
 async fn a_second_answer_that_has_come_is_no_answer_to_the_next_request() {
-    let reply = second_answer(|mut connection| {
+    let response = second_answer(|mut connection| {
         let stale = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale";
         std::io::Write::write_all(&mut connection, stale).expect("written");
     });
-    assert!(matches!(reply.await, Reply::Served(body) if body == "right"));
+    assert!(matches!(response.await, FinalResponse::Served(body) if body == "right"));
 }
 
 /// A request written to a connection that its backend has closed may have run, for all that the node can know.
 #[tokio::test]
 async fn a_connection_that_has_just_been_closed_is_not_written_to() {
-    let reply = second_answer(|connection| {
+    let response = second_answer(|connection| {
         connection.shutdown(std::net::Shutdown::Both).expect("closed");
     });
-    assert!(matches!(reply.await, Reply::Served(body) if body == "right"));
+    assert!(matches!(response.await, FinalResponse::Served(body) if body == "right"));
 }
 
 /// The second answer came some milliseconds after the first, and the next request had been written in between.
@@ -184,11 +194,14 @@
 async fn a_second_answer_that_comes_late_is_no_answer_to_the_next_request() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let endpoint = listener.local_addr().expect("its address");
-    let links = ConnectionSettings { idle_timeout: 60 * SECOND, connect_timeout: SECOND };
-    let upstream = Upstream::new(links, Clock::start(), 8);
-    let crossed = Rc::new(Crossed { upstream, crossing: RefCell::default() });
-    let node = node_over(SECOND, "pushed", crossed);
-    node.fleet(ListScope::Full, vec![Listed { endpoint, ..listed("s", Stage::InService) }]);
+    let settings = ConnectionSettings { idle_timeout: 60 * SECOND, connect_timeout: SECOND };
+    let upstream = Upstream::new(settings, Clock::start(), 8);
+    let transport = Rc::new(HookedUpstream { upstream, before_attempt: RefCell::default() });
+    let node = node_with_transport(SECOND, "pushed", transport);
+    node.update_backends(
+        ListScope::Full,
+        vec![BackendEntry { endpoint, ..backend_entry("s", Stage::InService) }],
+    );
     let connections: Rc<RefCell<Vec<Rc<TcpStream>>>> = Rc::default();
     let answer = |body: &str| format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
     let work = async {
@@ -214,17 +227,17 @@
                 });
             }
         });
-        let first = node.submit(asked(60 * SECOND)).answer().await;
-        assert!(matches!(first, Reply::Served(body) if body == "right"));
-        let next = node.submit(asked(60 * SECOND));
+        let first = node.submit(client_request(60 * SECOND)).response().await;
+        assert!(matches!(first, FinalResponse::Served(body) if body == "right"));
+        let next = node.submit(client_request(60 * SECOND));
         // Whatever would be written at once has been by now.
         for _ in 0..50 {
             yield_now().await;
         }
         let _ = connections.borrow()[0].try_write(answer("stale").as_bytes());
-        next.answer().await
+        next.response().await
     };
-    let reply = tokio::task::LocalSet::new().run_until(work).await;
-    assert!(matches!(&reply, Reply::Served(body) if body == "right"), "{reply:?}");
+    let response = tokio::task::LocalSet::new().run_until(work).await;
+    assert!(matches!(&response, FinalResponse::Served(body) if body == "right"), "{response:?}");
     assert_eq!(connections.borrow().len(), 2);
 }
