--- a/node/src/discovery/mod.rs
+++ b/node/src/discovery/mod.rs
@@ -128,7 +128,7 @@
             Self::Connect(_) => "no connection",
             Self::Broken(_) | Self::Body(_) => "the call broke",
             Self::Status(_) => "turned away",
-            Self::Malformed(_) => "not a list",
+            Self::Malformed(_) => "invalid backend list",
             Self::Late => "no answer in time",
             Self::Request(_) => "no such request",
         }
--- a/node/src/driver/mod.rs
+++ b/node/src/driver/mod.rs
@@ -411,7 +411,7 @@
         let request = self.requests.open(client_request.http, sender, not_after);
         self.set_timer(not_after.saturating_add(BACKSTOP), Due::Backstop(request), errands);
         let (class, budget_ms) = (client_request.class, client_request.budget / 1_000_000);
-        tracing::debug!(request = self.requests.call_id(request), class, budget_ms, "request taken");
+        tracing::debug!(request = self.requests.call_id(request), class, budget_ms, "request received");
         let arrival = Arrival {
             request,
             class: ClassId(class),
@@ -443,7 +443,7 @@
             request = self.requests.call_id(request),
             attempt = begun.attempt,
             backend = self.backends.uid(backend),
-            "attempt sent"
+            "attempt started"
         );
         let end = timeout.map_or(Nanos::MAX, |timeout| now.saturating_add(timeout));
         errands.attempts.push(Attempt {
--- a/node/src/log/tests.rs
+++ b/node/src/log/tests.rs
@@ -58,7 +58,7 @@
         for _ in 0..3 {
             let began = Instant::now();
             for n in 0..LINES {
-                tracing::debug!(request = std::hint::black_box(n), attempt = 0, "attempt sent");
+                tracing::debug!(request = std::hint::black_box(n), attempt = 0, "attempt started");
             }
             let filtered = began.elapsed();
             let began = Instant::now();
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -145,7 +145,7 @@
     let hangup = signal(SignalKind::hangup())?;
     let listener =
         listen(config.listen).map_err(|source| StartError::Listen { at: config.listen, source })?;
-    tracing::info!(target: STARTED, node = config.name, listen = %listener.local_addr()?, "serves");
+    tracing::info!(target: STARTED, node = config.name, listen = %listener.local_addr()?, "listening");
     spawn_local(reconfigure(hangup, node.clone(), discovery, replicas));
     if registry.is_some() {
         spawn_local(registry::Follow::new(node.clone(), replicas_are, seed, config.known).run());
@@ -159,7 +159,7 @@
     let served = spawn_local(server::run(listener, node, clients, phases));
     asked_to_stop(&mut terminate, &mut interrupt).await;
     let asked = Instant::now();
-    tracing::info!(node = config.name, "stops");
+    tracing::info!(node = config.name, "shutting down");
     phase.send_replace(ShutdownPhase::Draining);
     sleep_until(asked + STILL_TAKES).await;
     let response_deadline = asked + deadline.min(LONGEST_STAY) + STAYS - ANSWERED_BEFORE;
--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -376,7 +376,7 @@
             if let Some(address) = fields["listen"].as_str() {
                 return address.parse().unwrap();
             }
-        } else if let Some((_, fields)) = line.split_once(" serves ") {
+        } else if let Some((_, fields)) = line.split_once(" listening ") {
             let address = fields.split_whitespace().find_map(|field| field.strip_prefix("listen="));
             return address.expect("the address").parse().unwrap();
         }
--- a/node/tests/lifecycle.rs
+++ b/node/tests/lifecycle.rs
@@ -50,7 +50,7 @@
         (4, r#"{"rev":4,"all":true}"#),
     ] {
         discovery.set_response(rev, text.to_owned());
-        wait_until("the invalid list is logged", || node.log_contains("discovery: not a list"));
+        wait_until("the invalid list is logged", || node.log_contains("discovery: invalid backend list"));
         assert_eq!(node.request(&get(&format!("b{rev}"), "")).status(), 200);
     }
     let other = backend_responding("other");
@@ -71,7 +71,7 @@
     let mut config = config(discovery.address, json!([]));
     config["settings"]["discovery"] = json!("on_request");
     let node = Node::start(&config);
-    wait_until("the failure is logged", || node.log_contains("discovery: not a list"));
+    wait_until("the failure is logged", || node.log_contains("discovery: invalid backend list"));
     discovery.set_targets(json!([target("s-0", backend.address, "Ready")]));
     discovery.wait_for_watch_from(discovery.rev());
     assert_eq!(node.request(&get("a1", "")).status(), 200);
@@ -362,7 +362,7 @@
         .map(|line| serde_json::from_str(line).expect("one JSON object per line"))
         .collect();
     let steps: Vec<&str> = lines.iter().filter_map(|line| line["message"].as_str()).collect();
-    assert_eq!(steps, ["request taken", "attempt sent", "attempt ended", "request ended"], "{lines:?}");
+    assert_eq!(steps, ["request received", "attempt started", "attempt ended", "request ended"], "{lines:?}");
     assert!(lines.iter().all(|line| line["request"] == "followed"), "{lines:?}");
     assert_eq!((&lines[1]["backend"], &lines[2]["outcome"]), (&json!("s-0"), &json!("Served")));
     assert_eq!(lines[3]["answer"], "served");
