--- a/node/src/driver/backends.rs
+++ b/node/src/driver/backends.rs
@@ -6,7 +6,7 @@
 use brookfield::{BackendId, ListScope, Member, Nanos, Stage};
 use brookfield_settings::NameTable;
 
-use super::exchange::BackendEntry;
+use super::types::BackendEntry;
 
 const NANOS_IN_MS: u64 = 1_000_000;
 /// A change of the list is told this long after it happened at the latest, while discovery can be reached.
--- a/node/src/driver/mod.rs
+++ b/node/src/driver/mod.rs
@@ -6,11 +6,11 @@
 //! `requests`, whom each answer goes to; `backends`, names, numbers and addresses; `timers`, what comes due.
 
 mod backends;
-mod exchange;
 mod requests;
 #[cfg(test)]
 pub mod tests;
 mod timers;
+mod types;
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -29,11 +29,11 @@
 use tracing::Level;
 
 use backends::Backends;
-pub use exchange::{
-    Attempt, AttemptId, BackendEntry, ClientRequest, FinalResponse, HttpRequest, ListState, UpstreamResult,
-};
 use requests::Requests;
 use timers::{Due, Timers};
+pub use types::{
+    Attempt, AttemptId, BackendEntry, ClientRequest, FinalResponse, HttpRequest, ListState, UpstreamResult,
+};
 
 /// How long past a request's end the driver waits for the module before it answers by itself: longer than
 /// the module's own housekeeping, well inside the slack that the rules leave.
--- a/node/src/driver/requests.rs
+++ b/node/src/driver/requests.rs
@@ -6,7 +6,7 @@
 use brookfield::{Nanos, RequestId};
 use tokio::sync::oneshot;
 
-use super::exchange::{FinalResponse, HttpRequest};
+use super::types::{FinalResponse, HttpRequest};
 
 struct Flight {
     since: Nanos,
