--- a/node/src/discovery/mod.rs
+++ b/node/src/discovery/mod.rs
@@ -1,5 +1,5 @@
-//! The list of backends: one watch on discovery, renewed at once and for ever. When what is asked is decided in
-//! [`Poller`]; here are its sockets and its clock.
+//! Follows the backend list of the discovery service with long polls. [`Poller`] decides when to poll and
+//! with which timeouts; this file has the sockets and the clock.
 
 mod poller;
 
@@ -22,41 +22,40 @@
 use crate::driver::{BackendEntry, Node};
 use poller::{Poller, Timeouts};
 
-/// A list of thousands of backends fits.
-pub const MAX_LIST: usize = 4 * 1024 * 1024;
+/// Largest list that is accepted, enough for thousands of backends.
+pub const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
 
-type Link = SendRequest<Empty<Bytes>>;
+type Connection = SendRequest<Empty<Bytes>>;
 
-/// The list as discovery words it.
+/// The backend list in the format of discovery and of the registry.
 #[derive(Deserialize)]
-pub struct List {
+pub struct BackendList {
     rev: u64,
     all: bool,
     targets: Vec<Target>,
-    /// Told by the fleet's own registry alone.
+    /// Sent by the registry only.
     #[serde(default)]
     incarnation: u64,
 }
 
-impl List {
-    /// Its version.
+impl BackendList {
+    /// Version of the list.
     pub fn rev(&self) -> u64 {
         self.rev
     }
 
-    /// The registry's incarnation.
+    /// Incarnation of the registry.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Whether it is the whole list.
-    pub fn is_whole(&self) -> bool {
+    /// Whether this is the full list rather than changes.
+    pub fn is_full(&self) -> bool {
         self.all
     }
 
-    /// Its lines, as the driver takes them.
-    pub fn listed(self) -> Vec<BackendEntry> {
-        self.targets.into_iter().map(Target::listed).collect()
+    pub fn into_entries(self) -> Vec<BackendEntry> {
+        self.targets.into_iter().map(Target::into_entry).collect()
     }
 }
 
@@ -84,7 +83,7 @@
 }
 
 impl Target {
-    fn listed(self) -> BackendEntry {
+    fn into_entry(self) -> BackendEntry {
         BackendEntry {
             uid: self.uid,
             endpoint: self.endpoint,
@@ -102,171 +101,172 @@
     }
 }
 
-/// Why a call to discovery brought no list.
+/// Why a poll returned no list.
 #[derive(Debug, thiserror::Error)]
-enum CallError {
-    #[error("no connection: {0}")]
+enum PollError {
+    #[error("connecting failed: {0}")]
     Connect(#[from] std::io::Error),
-    #[error("the call broke: {0}")]
-    Broken(#[from] hyper::Error),
-    #[error("the answer broke or was too long: {0}")]
+    #[error("connection failed: {0}")]
+    Connection(#[from] hyper::Error),
+    #[error("response body incomplete or too large: {0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
-    #[error("answered {0}")]
+    #[error("HTTP status {0}")]
     Status(StatusCode),
     #[error("{0}")]
-    Malformed(#[from] serde_json::Error),
-    #[error("silent")]
-    Late,
-    #[error("no such request: {0}")]
-    Request(#[from] hyper::http::Error),
+    InvalidList(#[from] serde_json::Error),
+    #[error("timed out")]
+    Timeout,
+    #[error("invalid HTTP request: {0}")]
+    InvalidRequest(#[from] hyper::http::Error),
 }
 
-impl CallError {
-    /// What went wrong, without figures.
-    fn kind(&self) -> &'static str {
+impl PollError {
+    /// Log message, without details.
+    fn message(&self) -> &'static str {
         match self {
-            Self::Connect(_) => "no connection",
-            Self::Broken(_) | Self::Body(_) => "the call broke",
-            Self::Status(_) => "turned away",
-            Self::Malformed(_) => "invalid backend list",
-            Self::Late => "no answer in time",
-            Self::Request(_) => "no such request",
+            Self::Connect(_) => "connecting to discovery failed",
+            Self::Connection(_) | Self::Body(_) => "connection to discovery failed",
+            Self::Status(_) => "discovery returned an error status",
+            Self::InvalidList(_) => "invalid backend list",
+            Self::Timeout => "discovery did not respond in time",
+            Self::InvalidRequest(_) => "invalid discovery request",
         }
     }
 }
 
-/// A list with the connection that brought it.
-type Called = Result<(List, Link), CallError>;
+/// A list with the connection that it came over.
+type PollResult = Result<(BackendList, Connection), PollError>;
 
-/// Follows the list.
-pub struct Watch {
+/// Follows the backend list of discovery.
+pub struct Watcher {
     node: Node,
-    /// Where discovery is, which a new configuration may change.
-    at: watch::Receiver<SocketAddr>,
+    /// Address of discovery, which changes when the configuration is reloaded.
+    address: watch::Receiver<SocketAddr>,
     poller: Poller,
-    calls: JoinSet<(u64, Called)>,
-    /// The connection that brought the last list.
-    kept: Option<Link>,
-    began: Instant,
+    in_flight: JoinSet<(u64, PollResult)>,
+    /// The connection that the last list came over.
+    idle: Option<Connection>,
+    started_at: Instant,
 }
 
-impl Watch {
-    /// A watch at `at` that goes on from `known`, which may be old.
-    pub fn new(node: Node, at: watch::Receiver<SocketAddr>, known: Option<List>) -> Self {
-        let timeouts = if node.asks_discovery() { Timeouts::ASKED } else { Timeouts::PUSHED };
+impl Watcher {
+    /// Creates a watcher that starts with the list `known`, which may be out of date.
+    pub fn new(node: Node, address: watch::Receiver<SocketAddr>, known: Option<BackendList>) -> Self {
+        let timeouts = if node.discovery_is_on_request() { Timeouts::ON_REQUEST } else { Timeouts::PUSHED };
         let poller = Poller::new(timeouts, known.as_ref().map(|list| list.rev));
         if let Some(list) = known {
-            node.update_backends(ListScope::Cached, list.listed());
+            node.update_backends(ListScope::Cached, list.into_entries());
         }
-        Self { node, at, poller, calls: JoinSet::new(), kept: None, began: Instant::now() }
+        Self { node, address, poller, in_flight: JoinSet::new(), idle: None, started_at: Instant::now() }
     }
 
-    /// Watches; never ends.
+    /// Follows the list; never returns.
     pub async fn run(mut self) {
-        let mut moves = self.at.clone();
+        let mut address_changes = self.address.clone();
         loop {
-            self.call();
-            let due = self.poller.due().map(|due| self.began + due);
+            self.start_poll();
+            let due = self.poller.due().map(|due| self.started_at + due);
             tokio::select! {
                 biased;
-                () = moved(&mut moves) => {
-                    self.drop_calls();
-                    self.kept = None;
-                    self.poller.moved(self.began.elapsed());
+                () = changed(&mut address_changes) => {
+                    self.abort_polls();
+                    self.idle = None;
+                    self.poller.address_changed(self.started_at.elapsed());
                 }
-                Some(ended) = self.calls.join_next() => match ended {
-                    Ok((call, Ok((list, link)))) => self.take(call, list, link),
-                    Ok((call, Err(error))) => self.missed(call, &error),
-                    // None panics, and those that are dropped are not waited for.
+                Some(ended) = self.in_flight.join_next() => match ended {
+                    Ok((poll, Ok((list, connection)))) => self.list_received(poll, list, connection),
+                    Ok((poll, Err(error))) => self.poll_failed(poll, &error),
+                    // The tasks do not panic, and aborted ones are not joined.
                     Err(_) => {}
                 },
                 () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => {}
-                () = self.node.discovery_wanted() => self.poller.wanted(self.began.elapsed()),
+                () = self.node.discovery_requested() => self.poller.poll_requested(self.started_at.elapsed()),
             }
         }
     }
 
-    /// Makes the call that is due, if one is.
-    fn call(&mut self) {
-        let now = self.began.elapsed();
+    /// Starts the next poll if one is due.
+    fn start_poll(&mut self) {
+        let now = self.started_at.elapsed();
         if self.poller.due().is_none_or(|due| due > now) {
             return;
         }
-        let link = self.kept.take().filter(|link| !link.is_closed());
-        let Some(ask) = self.poller.call(now, self.node.take_whole_list(), link.is_some()) else { return };
-        let target = match ask.from {
-            Some(rev) => format!("{INSTANCES_PATH}?from={rev}&hold_ms={}", ask.hold.as_millis()),
+        let idle = self.idle.take().filter(|connection| !connection.is_closed());
+        let Some(req) = self.poller.next(now, self.node.take_fetch_request(), idle.is_some()) else { return };
+        let target = match req.from {
+            Some(rev) => format!("{INSTANCES_PATH}?from={rev}&hold_ms={}", req.hold.as_millis()),
             None => INSTANCES_PATH.to_owned(),
         };
-        let at = *self.at.borrow();
-        self.calls.spawn_local(async move {
-            let called = timeout(ask.limit, list_at(at, link, &target)).await;
-            (ask.call, called.unwrap_or(Err(CallError::Late)))
+        let address = *self.address.borrow();
+        self.in_flight.spawn_local(async move {
+            let result = timeout(req.timeout, fetch_list(address, idle, &target)).await;
+            (req.id, result.unwrap_or(Err(PollError::Timeout)))
         });
     }
 
-    fn take(&mut self, call: u64, list: List, link: Link) {
-        self.drop_calls();
-        self.kept = Some(link);
-        if !self.poller.answered(self.began.elapsed(), call, list.rev, list.all) {
-            tracing::warn!(rev = list.rev, "the list's version has gone back");
+    fn list_received(&mut self, poll: u64, list: BackendList, connection: Connection) {
+        self.abort_polls();
+        self.idle = Some(connection);
+        if !self.poller.on_response(self.started_at.elapsed(), poll, list.rev, list.all) {
+            tracing::warn!(rev = list.rev, "list version went backwards; fetching the full list");
             return;
         }
-        tracing::debug!(rev = list.rev, whole = list.all, lines = list.targets.len(), "list answered");
+        tracing::debug!(rev = list.rev, whole = list.all, lines = list.targets.len(), "poll answered");
         let scope = if list.all { ListScope::Full } else { ListScope::Changes };
         if list.all || !list.targets.is_empty() {
-            self.node.update_backends(scope, list.listed());
+            self.node.update_backends(scope, list.into_entries());
         } else {
             self.node.list_unchanged();
         }
     }
 
-    fn missed(&mut self, call: u64, error: &CallError) {
-        tracing::warn!(cause = %error, "{}", error.kind());
-        self.poller.failed(self.began.elapsed(), call);
+    fn poll_failed(&mut self, poll: u64, error: &PollError) {
+        tracing::warn!(cause = %error, "{}", error.message());
+        self.poller.on_failure(self.started_at.elapsed(), poll);
         self.node.discovery_failed();
     }
 
-    /// Ends all calls that are out, with their connections: an answer to one must not be taken for another's.
-    fn drop_calls(&mut self) {
-        self.calls = JoinSet::new();
+    /// Aborts all polls in flight and drops their connections, so that a late response is not taken for that
+    /// of another poll.
+    fn abort_polls(&mut self) {
+        self.in_flight = JoinSet::new();
     }
 }
 
-/// Asks for the list, over this connection if it still stands.
-async fn list_at(at: SocketAddr, link: Option<Link>, target: &str) -> Called {
-    let mut link = match link {
-        Some(link) => link,
-        None => talk(TcpStream::connect(at).await?).await?,
+/// Fetches the list, over `idle` if it is still open and else over a new connection.
+async fn fetch_list(address: SocketAddr, idle: Option<Connection>, target: &str) -> PollResult {
+    let mut connection = match idle {
+        Some(connection) => connection,
+        None => start_http(TcpStream::connect(address).await?).await?,
     };
-    link.ready().await?;
-    let request = Request::get(target).header(HOST, at.to_string()).body(Empty::new())?;
-    let response = link.send_request(request).await?;
+    connection.ready().await?;
+    let request = Request::get(target).header(HOST, address.to_string()).body(Empty::new())?;
+    let response = connection.send_request(request).await?;
     let status = response.status();
-    let body = Limited::new(response.into_body(), MAX_LIST).collect().await.map_err(CallError::Body)?;
+    let body = Limited::new(response.into_body(), MAX_LIST_BYTES).collect().await.map_err(PollError::Body)?;
     if status != StatusCode::OK {
-        return Err(CallError::Status(status));
+        return Err(PollError::Status(status));
     }
-    Ok((serde_json::from_slice(&body.to_bytes())?, link))
+    Ok((serde_json::from_slice(&body.to_bytes())?, connection))
 }
 
-/// Resolves when an address has changed.
-pub async fn moved<T>(addresses: &mut watch::Receiver<T>) {
+/// Resolves when the watched value has changed; never if its sender is gone.
+pub async fn changed<T>(addresses: &mut watch::Receiver<T>) {
     if addresses.changed().await.is_err() {
-        // No other address will come.
         std::future::pending().await
     }
 }
 
-/// Every call is one small write after the last answer's end, which goes out at once without an option for it.
-async fn talk(stream: TcpStream) -> Result<Link, CallError> {
-    let (link, connection) = handshake(TokioIo::new(stream)).await?;
+/// Starts HTTP on a new connection. `TCP_NODELAY` is not needed: each request is one small write that follows
+/// the end of the previous response.
+async fn start_http(stream: TcpStream) -> Result<Connection, PollError> {
+    let (sender, connection) = handshake(TokioIo::new(stream)).await?;
     spawn_local(async move {
         if let Err(error) = connection.await {
-            tracing::debug!(cause = %error, "the connection broke");
+            tracing::debug!(cause = %error, "connection closed with an error");
         }
     });
-    Ok(link)
+    Ok(sender)
 }
 
 #[cfg(test)]
--- a/node/src/discovery/poller.rs
+++ b/node/src/discovery/poller.rs
@@ -1,11 +1,11 @@
-//! When the list is asked for, and how long an answer is waited for, as a state machine. Time is an argument; the
-//! sockets are the driver's.
+//! Decides when to poll discovery and how long to wait for each response, as a state machine: time is an
+//! argument, and the caller owns the sockets.
 //!
-//! One clock decides what counts as told, whoever tells the list: a call that stays silent is broken, and what it
-//! missed counts 6 s after it fell silent, or 2 s after the wait that it was granted, whichever is later. After a call
-//! that failed it counts 6 s after it was there to be told, whatever wait the next call is granted. An agent's word
-//! counts sooner: what it has is told at once, also right after it was away. So a call that is overdue is not waited
-//! out: another one goes out beside it.
+//! A change of the list counts as known to the node from some time on, and the timeouts make sure that the
+//! node has it soon after. If a poll hangs, that is 6 s after it began to hang or 2 s after its hold time,
+//! whichever is later. After a failed poll it is 6 s after the change, however long the next hold time is.
+//! With an agent on the node's machine it is as soon as the agent has the change, also right after an outage
+//! of the agent. An overdue poll is therefore not waited for: another one is started beside it.
 
 use std::time::Duration;
 
@@ -13,161 +13,163 @@
     Duration::from_millis(ms)
 }
 
-/// How long whoever tells the list is waited for.
+/// Timeouts of polls.
 #[derive(Clone, Copy, Debug)]
 pub struct Timeouts {
-    /// How long a watch may wait for news, and the first one after a failure.
+    /// Hold time of a long poll: usually, and for the first one after a failure.
     pub hold: (Duration, Duration),
-    /// A watch is given up so long after its wait.
-    pub grace: Duration,
-    /// A call that does not wait is given up after this: at first, and, doubled with each failure, at most.
-    pub answer: (Duration, Duration),
-    /// A call is overdue so long after its wait: another one goes out beside it ...
-    pub overdue: Duration,
-    /// ... while there are fewer than this.
-    pub most: usize,
-    /// The pause after a failure, at first and, doubled with each further one, at most.
-    pub again: (Duration, Duration),
+    /// A long poll times out this long after its hold time.
+    pub hold_margin: Duration,
+    /// Timeout of a poll without a hold time: the first, and the maximum as it doubles with each failure.
+    pub response: (Duration, Duration),
+    /// A poll is overdue this long after its hold time, and another one is started beside it ...
+    pub overdue_after: Duration,
+    /// ... while fewer than this many are in flight.
+    pub max_in_flight: usize,
+    /// Backoff after a failure: the first, and the maximum as it doubles with each further failure.
+    pub backoff: (Duration, Duration),
 }
 
 impl Timeouts {
-    /// With an agent on the node's own machine, where a call costs nothing. A watch of 2 s that falls silent is overdue
-    /// 3.75 s before what it missed counts as told. When the agent comes back, a call goes out within the 500 ms that a
-    /// drain leaves, whether it had refused the calls before, swallowed them or keeps them for later.
+    /// For an agent on the node's own machine, where polls are cheap. A poll with a hold time of 2 s that
+    /// hangs is overdue 3.75 s before the changes it missed count as known. When the agent is back, a poll is
+    /// started within the 500 ms of the drain grace period, whether the agent had refused polls, dropped them
+    /// or queued them.
     pub const PUSHED: Self = Self {
         hold: (ms(2000), ms(2000)),
-        grace: ms(500),
-        answer: (ms(1000), ms(1000)),
-        overdue: ms(250),
-        most: 4,
-        again: (ms(50), ms(200)),
+        hold_margin: ms(500),
+        response: (ms(1000), ms(1000)),
+        overdue_after: ms(250),
+        max_in_flight: 4,
+        backoff: (ms(50), ms(200)),
     };
-    /// With one service that all nodes ask: watches are long and calls alone. A watch of 20 s is given up 1.5 s before
-    /// what it missed counts as told, and the longest call and the longest pause together fit into the 6 s of a poll.
-    /// After a failure what is missed counts 6 s after it was there, whatever wait was granted: the first watch then is
-    /// so short that a call and the next one fit in behind it. The module names the pause; the one here is for want of
-    /// that.
-    pub const ASKED: Self = Self {
+    /// For one service that all nodes poll: hold times are long and only one poll is in flight. A long poll
+    /// times out 1.5 s before the changes it missed count as known, and the longest response timeout and
+    /// backoff together fit into 6 s. After a failure changes count as known after 6 s whatever the hold
+    /// time, so the first hold time is short enough for a timeout and one more poll. The balancer usually
+    /// requests the next poll before the backoff ends.
+    pub const ON_REQUEST: Self = Self {
         hold: (ms(20_000), ms(3500)),
-        grace: ms(500),
-        answer: (ms(1000), ms(2000)),
-        overdue: ms(500),
-        most: 1,
-        again: (ms(3500), ms(3500)),
+        hold_margin: ms(500),
+        response: (ms(1000), ms(2000)),
+        overdue_after: ms(500),
+        max_in_flight: 1,
+        backoff: (ms(3500), ms(3500)),
     };
 }
 
-/// A call to be made.
+/// A poll to be started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ask {
-    /// Names it when it ends.
-    pub call: u64,
-    /// Changes since this version; none for the whole list.
+pub struct PollRequest {
+    /// Identifies the poll when it ends.
+    pub id: u64,
+    /// Version to get changes since; none for the full list.
     pub from: Option<u64>,
-    /// How long it may wait for news.
+    /// How long the server may hold the response until there is a change.
     pub hold: Duration,
-    /// When it is given up, from now.
-    pub limit: Duration,
+    pub timeout: Duration,
 }
 
-/// What is asked, and when. A time counts from whenever its owner began.
+/// State of polling. All times count from a fixed start that the caller chooses.
 #[derive(Clone, Debug)]
 pub struct Poller {
     timeouts: Timeouts,
     rev: Option<u64>,
-    /// The calls that are out, at most [`Timeouts::most`], and whether each is a watch.
-    out: Vec<(u64, bool)>,
-    next: u64,
+    /// Polls in flight, at most [`Timeouts::max_in_flight`], and whether each is a long poll.
+    in_flight: Vec<(u64, bool)>,
+    next_id: u64,
     due: Option<Duration>,
     failures: u32,
-    /// Whether a call has failed since a watch was last answered.
-    wary: bool,
-    /// Whether the last answer told what is known now, and not what a wait had brought.
-    current: bool,
+    /// Whether a poll has failed since a long poll was last answered.
+    failed_since_long_poll: bool,
+    /// Whether the last response was to a poll without a hold time, and so tells the current list.
+    is_current: bool,
 }
 
 impl Poller {
-    /// Goes on from this version, at once.
+    /// Creates a poller that has the list of version `rev`. The first poll is due at once.
     pub fn new(timeouts: Timeouts, rev: Option<u64>) -> Self {
         Self {
             timeouts,
             rev,
-            out: Vec::new(),
-            next: 0,
+            in_flight: Vec::new(),
+            next_id: 0,
             due: Some(Duration::ZERO),
             failures: 0,
-            wary: false,
-            current: false,
+            failed_since_long_poll: false,
+            is_current: false,
         }
     }
 
-    /// When the next call is due; none while one is waited for.
+    /// When the next poll is due; none while responses are awaited.
     pub fn due(&self) -> Option<Duration> {
-        self.due.filter(|_| self.out.len() < self.timeouts.most)
+        self.due.filter(|_| self.in_flight.len() < self.timeouts.max_in_flight)
     }
 
-    /// The call that is due, if one is. `linked` says whether the connection that brought the last list still stands.
-    pub fn call(&mut self, now: Duration, whole: bool, linked: bool) -> Option<Ask> {
+    /// The next poll, if one is due. `full` requests the full list; `connected` says whether the
+    /// connection of the last response is still open.
+    pub fn next(&mut self, now: Duration, full: bool, connected: bool) -> Option<PollRequest> {
         self.due().filter(|due| *due <= now)?;
-        let from = self.rev.filter(|_| !whole);
-        let Timeouts { hold, grace, answer, overdue, most, .. } = self.timeouts;
-        // A new connection may be long in coming up, and an agent's word counts meanwhile. One that ends with each
-        // answer is no reason to ask without end.
-        let unsure = most > 1 && !linked && !self.current;
-        // Whoever doubts wants an answer, not news.
-        let trusts = from.is_some() && self.failures == 0 && self.out.is_empty() && !unsure;
-        let hold = match (trusts, self.wary) {
+        let from = self.rev.filter(|_| !full);
+        let Timeouts { hold, hold_margin, response, overdue_after, max_in_flight, .. } = self.timeouts;
+        // With an agent, changes count as known while a new connection is being opened, so the first poll
+        // over it has no hold time. If the agent closes the connection after each response, polls alternate.
+        let reconnecting = max_in_flight > 1 && !connected && !self.is_current;
+        // After a failure or beside an overdue poll a response is wanted at once.
+        let may_hold = from.is_some() && self.failures == 0 && self.in_flight.is_empty() && !reconnecting;
+        let hold = match (may_hold, self.failed_since_long_poll) {
             (false, _) => Duration::ZERO,
             (true, false) => hold.0,
             (true, true) => hold.1,
         };
-        let waits = hold > Duration::ZERO;
-        let call = self.next;
-        self.next += 1;
-        self.out.push((call, waits));
-        self.due = (most > 1).then(|| now + hold + overdue);
-        let limit = if waits { hold + grace } else { doubled(answer, self.failures) };
-        Some(Ask { call, from, hold, limit })
+        let is_long_poll = hold > Duration::ZERO;
+        let id = self.next_id;
+        self.next_id += 1;
+        self.in_flight.push((id, is_long_poll));
+        self.due = (max_in_flight > 1).then(|| now + hold + overdue_after);
+        let timeout = if is_long_poll { hold + hold_margin } else { backed_off(response, self.failures) };
+        Some(PollRequest { id, from, hold, timeout })
     }
 
-    /// A call has brought this version, of the whole list or of changes. All others are to be dropped: they ask for what
-    /// is known now. Whether the list can be taken: changes up to a version before ours are of a list that began anew.
-    pub fn answered(&mut self, now: Duration, call: u64, rev: u64, whole: bool) -> bool {
-        let watch = self.out.contains(&(call, true));
-        let taken = whole || self.rev.is_none_or(|known| known <= rev);
-        self.rev = taken.then_some(rev);
-        self.out.clear();
-        self.wary &= !watch;
-        (self.failures, self.due, self.current) = (0, Some(now), !watch);
-        taken
+    /// Handles a response with this version, a full list or changes. The caller drops all other polls in
+    /// flight. Returns whether the list can be applied: changes up to an older version come from a restarted
+    /// server, so the full list is fetched next.
+    pub fn on_response(&mut self, now: Duration, id: u64, rev: u64, full: bool) -> bool {
+        let is_long_poll = self.in_flight.contains(&(id, true));
+        let applicable = full || self.rev.is_none_or(|known| known <= rev);
+        self.rev = applicable.then_some(rev);
+        self.in_flight.clear();
+        self.failed_since_long_poll &= !is_long_poll;
+        (self.failures, self.due, self.is_current) = (0, Some(now), !is_long_poll);
+        applicable
     }
 
-    /// A call has brought nothing.
-    pub fn failed(&mut self, now: Duration, call: u64) {
-        self.out.retain(|out| out.0 != call);
-        let at = now + doubled(self.timeouts.again, self.failures);
+    /// Handles a poll that failed or timed out.
+    pub fn on_failure(&mut self, now: Duration, id: u64) {
+        self.in_flight.retain(|poll| poll.0 != id);
+        let at = now + backed_off(self.timeouts.backoff, self.failures);
         self.failures = self.failures.saturating_add(1);
-        (self.wary, self.current) = (true, false);
+        (self.failed_since_long_poll, self.is_current) = (true, false);
         self.due = Some(self.due.map_or(at, |due| due.min(at)));
     }
 
-    /// The module wants to know. A call that is out will tell.
-    pub fn wanted(&mut self, now: Duration) {
-        if self.out.is_empty() {
+    /// Handles the balancer's request for a poll, unless one is already in flight.
+    pub fn poll_requested(&mut self, now: Duration) {
+        if self.in_flight.is_empty() {
             self.due = Some(now);
         }
     }
 
-    /// Whoever tells the list is at another address now, where versions may be others: the whole list comes first.
-    /// Calls that are out are to be dropped.
-    pub fn moved(&mut self, now: Duration) {
-        *self = Self { due: Some(now), next: self.next, ..Self::new(self.timeouts, None) };
+    /// Handles a new address of discovery. Its versions may differ, so the full list is fetched. The caller
+    /// drops all polls in flight.
+    pub fn address_changed(&mut self, now: Duration) {
+        *self = Self { due: Some(now), next_id: self.next_id, ..Self::new(self.timeouts, None) };
     }
 }
 
-/// A span that doubles with each failure, up to a longest.
-fn doubled((first, longest): (Duration, Duration), failures: u32) -> Duration {
-    first.saturating_mul(1 << failures.min(8)).min(longest)
+/// Doubles the first duration with each failure, up to a maximum.
+fn backed_off((first, max): (Duration, Duration), failures: u32) -> Duration {
+    first.saturating_mul(1 << failures.min(8)).min(max)
 }
 
 #[cfg(test)]
--- a/node/src/discovery/poller/tests.rs
+++ b/node/src/discovery/poller/tests.rs
@@ -3,261 +3,276 @@
 
 use super::*;
 
-/// The drain rule's grace: the only slack that there is.
-const GRACE: Duration = ms(500);
+/// How late the node may receive a change: the grace period of a drain.
+const DRAIN_GRACE: Duration = ms(500);
 const STEP: Duration = ms(10);
-const SPAN: Duration = ms(60_000);
+const SIMULATED_TIME: Duration = ms(60_000);
 const NEVER: Duration = Duration::MAX;
 
-/// What whoever tells the list does for a while.
+/// State of the simulated discovery.
 #[derive(Clone, Copy, PartialEq)]
-enum Does {
-    Answers,
-    Refuses,
-    /// Says nothing. What was asked meanwhile is answered at the return, or never.
-    Silent {
-        keeps: bool,
+enum ServerState {
+    Available,
+    Refusing,
+    /// Polls get no response. Those received meanwhile are answered after the outage if `queues`, else never.
+    Hanging {
+        queues: bool,
     },
 }
 
-struct Call {
-    ask: Ask,
-    opened: Duration,
-    /// When its connection is up.
-    up: Duration,
+struct SimulatedPoll {
+    request: PollRequest,
+    started_at: Duration,
+    /// When its connection is established.
+    connected_at: Duration,
     /// Since when it will never be answered.
-    silent: Option<Duration>,
+    hangs_since: Option<Duration>,
 }
 
-/// One play: discovery with drawn outages, changes and calls that fall silent, against a poller. When each change
-/// counted as told, and when the node had it.
-fn play(pushed: bool, timeouts: Timeouts, seed: u64) -> Vec<(Duration, Duration)> {
-    let mut luck = Xoshiro256PlusPlus::seed_from_u64(seed);
-    let mut spans = vec![(Duration::ZERO, Does::Answers)];
+/// Simulates a poller against a server with random outages, changes and hanging polls. Returns for each
+/// change when it counts as known to the node, and when the node received it.
+fn simulate(pushed: bool, timeouts: Timeouts, seed: u64) -> Vec<(Duration, Duration)> {
+    let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
+    let mut states = vec![(Duration::ZERO, ServerState::Available)];
     let mut at = Duration::ZERO;
-    while at < SPAN {
-        at += ms(luck.random_range(3_000..20_000));
-        let keeps = luck.random();
-        spans.push((at, if luck.random() { Does::Silent { keeps } } else { Does::Refuses }));
-        at += ms(luck.random_range(500..9_000));
-        spans.push((at, Does::Answers));
+    while at < SIMULATED_TIME {
+        at += ms(rng.random_range(3_000..20_000));
+        let queues = rng.random();
+        states.push((at, if rng.random() { ServerState::Hanging { queues } } else { ServerState::Refusing }));
+        at += ms(rng.random_range(500..9_000));
+        states.push((at, ServerState::Available));
     }
-    let does = |now: Duration| spans.iter().rev().find(|(from, _)| *from <= now).expect("the first").1;
-    // Discovery learns nothing while it is away, and all of it at its return.
-    let learns = |at: Duration| {
-        if does(at) == Does::Answers {
+    let state_at = |now: Duration| states.iter().rev().find(|(from, _)| *from <= now).expect("the first").1;
+    // Changes during an outage appear when it ends.
+    let appears_at = |at: Duration| {
+        if state_at(at) == ServerState::Available {
             at
         } else {
-            spans.iter().find(|(from, _)| *from > at).expect("back").0
+            states.iter().find(|(from, _)| *from > at).expect("end of the outage").0
         }
     };
-    let mut changes: Vec<Duration> = (0..12).map(|_| learns(ms(luck.random_range(0..50_000)))).collect();
+    let mut changes: Vec<Duration> = (0..12).map(|_| appears_at(ms(rng.random_range(0..50_000)))).collect();
     changes.sort_unstable();
-    let mut told = vec![NEVER; changes.len()];
-    let mut had = vec![NEVER; changes.len()];
+    let mut known_at = vec![NEVER; changes.len()];
+    let mut received_at = vec![NEVER; changes.len()];
     let mut poller = Poller::new(timeouts, Some(0));
-    let mut calls: Vec<Call> = Vec::new();
-    let (mut linked, mut wish, mut failures, mut stuck) = (false, NEVER, 0u32, false);
-    // Whether a call has failed since a watch was last answered.
+    let mut polls: Vec<SimulatedPoll> = Vec::new();
+    let (mut connected, mut balancer_request, mut failures, mut slow_connect) = (false, NEVER, 0u32, false);
+    // Whether a poll has failed since a long poll was last answered.
     let mut failed = false;
     let mut now = Duration::ZERO;
-    while now < SPAN {
-        let state = does(now);
-        let known = changes.iter().filter(|at| **at <= now).count() as u64;
-        // A watch may fall silent by itself, with discovery well.
-        for call in &mut calls {
-            let falls = call.ask.hold > Duration::ZERO && luck.random_bool(0.0005);
-            let lost = state == Does::Silent { keeps: false };
-            if (falls || lost) && call.silent.is_none() {
-                call.silent = Some(now);
+    while now < SIMULATED_TIME {
+        let state = state_at(now);
+        let rev = changes.iter().filter(|at| **at <= now).count() as u64;
+        // A long poll may also hang while the server is available.
+        for poll in &mut polls {
+            let hangs = poll.request.hold > Duration::ZERO && rng.random_bool(0.0005);
+            let lost = state == ServerState::Hanging { queues: false };
+            if (hangs || lost) && poll.hangs_since.is_none() {
+                poll.hangs_since = Some(now);
             }
         }
-        // What is news now, and by when it counts.
+        // When each new change counts as known.
         for (change, at) in changes.iter().enumerate().filter(|(_, at)| **at <= now) {
-            if told[change] != NEVER {
+            if known_at[change] != NEVER {
                 continue;
             }
-            let silent = calls.iter().filter_map(|call| Some((call, call.silent?))).next();
-            let waiting = calls.iter().find(|call| call.ask.hold > Duration::ZERO);
-            told[change] = match (silent, waiting) {
-                (Some((call, since)), _) => {
-                    (since + ms(6000)).max(call.opened + call.ask.hold + ms(2000)).max(*at)
+            let hanging = polls.iter().filter_map(|poll| Some((poll, poll.hangs_since?))).next();
+            let held = polls.iter().find(|poll| poll.request.hold > Duration::ZERO);
+            known_at[change] = match (hanging, held) {
+                (Some((poll, since)), _) => {
+                    (since + ms(6000)).max(poll.started_at + poll.request.hold + ms(2000)).max(*at)
                 }
                 _ if pushed => *at,
-                (None, Some(call)) => (*at + ms(6000)).max(call.opened + call.ask.hold + ms(2000)),
+                (None, Some(poll)) => (*at + ms(6000)).max(poll.started_at + poll.request.hold + ms(2000)),
                 (None, None) => *at + ms(6000),
             };
-            // Whatever else is allowed.
+            // After a failure, whatever the hold time.
             if failed && !pushed {
-                told[change] = told[change].min(*at + ms(6000));
+                known_at[change] = known_at[change].min(*at + ms(6000));
             }
-            // Nobody can be told by whoever is away: what an agent has counts at its return, what a service has
-            // 6 s later.
-            let away = spans.windows(2).filter(|span| span[0].1 != Does::Answers);
-            for (from, back) in away.map(|span| (span[0].0, span[1].0)) {
-                if from <= told[change] && back > *at {
-                    told[change] = told[change].max(if pushed { back } else { back + ms(6000) });
+            // During an outage nothing counts as known: an agent's list counts when the outage ends, a
+            // service's 6 s later.
+            let outages = states.windows(2).filter(|pair| pair[0].1 != ServerState::Available);
+            for (from, end) in outages.map(|pair| (pair[0].0, pair[1].0)) {
+                if from <= known_at[change] && end > *at {
+                    known_at[change] = known_at[change].max(if pushed { end } else { end + ms(6000) });
                 }
             }
         }
         let mut ended: Vec<(u64, Option<u64>)> = Vec::new();
-        for call in &calls {
-            let reached = call.up <= now && call.silent.is_none();
-            let news = call.ask.from != Some(known);
-            if reached && state == Does::Refuses {
-                ended.push((call.ask.call, None));
-            } else if reached && state == Does::Answers && (news || now >= call.opened + call.ask.hold) {
-                ended.push((call.ask.call, Some(known)));
-            } else if now >= call.opened + call.ask.limit {
-                ended.push((call.ask.call, None));
+        for poll in &polls {
+            let reached = poll.connected_at <= now && poll.hangs_since.is_none();
+            let changed = poll.request.from != Some(rev);
+            if reached && state == ServerState::Refusing {
+                ended.push((poll.request.id, None));
+            } else if reached
+                && state == ServerState::Available
+                && (changed || now >= poll.started_at + poll.request.hold)
+            {
+                ended.push((poll.request.id, Some(rev)));
+            } else if now >= poll.started_at + poll.request.timeout {
+                ended.push((poll.request.id, None));
             }
         }
-        ended.sort_by_key(|(_, answer)| answer.is_none());
-        for (call, answer) in ended {
-            if !calls.iter().any(|out| out.ask.call == call) {
+        ended.sort_by_key(|(_, response)| response.is_none());
+        for (id, response) in ended {
+            if !polls.iter().any(|poll| poll.request.id == id) {
                 continue;
             }
-            let watch = calls.iter().any(|out| out.ask.call == call && out.ask.hold > Duration::ZERO);
-            calls.retain(|out| out.ask.call != call);
-            failed = answer.is_none() || (failed && !watch);
-            match answer {
+            let long_poll =
+                polls.iter().any(|poll| poll.request.id == id && poll.request.hold > Duration::ZERO);
+            polls.retain(|poll| poll.request.id != id);
+            failed = response.is_none() || (failed && !long_poll);
+            match response {
                 Some(rev) => {
-                    calls.clear();
-                    assert!(poller.answered(now, call, rev, true));
-                    (linked, wish, failures) = (true, NEVER, 0);
-                    let taken = had.iter_mut().take(rev as usize).filter(|had| **had == NEVER);
-                    taken.for_each(|had| *had = now);
+                    polls.clear();
+                    assert!(poller.on_response(now, id, rev, true));
+                    (connected, balancer_request, failures) = (true, NEVER, 0);
+                    let new = received_at.iter_mut().take(rev as usize).filter(|at| **at == NEVER);
+                    new.for_each(|at| *at = now);
                 }
                 None => {
-                    poller.failed(now, call);
-                    linked = false;
-                    // As the module does: 300 ms, doubled up to three times, a quarter more or less.
-                    wish = now + ms(300 << failures.min(3)).mul_f64(luck.random_range(0.75..1.25));
+                    poller.on_failure(now, id);
+                    connected = false;
+                    // The balancer's backoff: 300 ms, doubled up to three times, with a jitter of a quarter.
+                    balancer_request = now + ms(300 << failures.min(3)).mul_f64(rng.random_range(0.75..1.25));
                     failures += 1;
                 }
             }
         }
-        if !pushed && now >= wish {
-            wish = NEVER;
-            poller.wanted(now);
+        if !pushed && now >= balancer_request {
+            balancer_request = NEVER;
+            poller.poll_requested(now);
         }
-        if let Some(ask) = poller.call(now, false, linked) {
-            // A connection in ten comes up late, if the one before did not.
-            stuck = !linked && !stuck && luck.random_bool(0.1);
-            let up = now + if stuck { ms(luck.random_range(500..1500)) } else { ms(10) };
-            calls.push(Call { ask, opened: now, up, silent: None });
-            linked = false;
-            assert!(calls.len() <= timeouts.most, "{} calls are out", calls.len());
+        if let Some(request) = poller.next(now, false, connected) {
+            // One connection in ten is slow, unless the previous one was.
+            slow_connect = !connected && !slow_connect && rng.random_bool(0.1);
+            let connected_at = now + if slow_connect { ms(rng.random_range(500..1500)) } else { ms(10) };
+            polls.push(SimulatedPoll { request, started_at: now, connected_at, hangs_since: None });
+            connected = false;
+            assert!(polls.len() <= timeouts.max_in_flight, "{} polls in flight", polls.len());
         }
         now += STEP;
     }
-    told.into_iter().zip(had).filter(|(told, _)| *told + GRACE < SPAN).collect()
+    known_at.into_iter().zip(received_at).filter(|(known, _)| *known + DRAIN_GRACE < SIMULATED_TIME).collect()
 }
 
-fn latest(pushed: bool, timeouts: Timeouts) -> Duration {
-    let past = |(told, had): (Duration, Duration)| had.saturating_sub(told);
-    (0..150).flat_map(|seed| play(pushed, timeouts, seed)).map(past).max().expect("changes")
+/// The longest time by which a change was received after it counted as known.
+fn max_delay(pushed: bool, timeouts: Timeouts) -> Duration {
+    let delay = |(known, received): (Duration, Duration)| received.saturating_sub(known);
+    (0..150).flat_map(|seed| simulate(pushed, timeouts, seed)).map(delay).max().expect("changes")
 }
 
-/// A silent call once held its place until the next one could no longer come in time, and a pause of up to 0.8 s
-/// after an outage outlasted the grace of a drain.
+/// Guards against waiting too long for a hanging poll, and against a backoff after an outage that is longer
+/// than the grace period of a drain.
 #[test]
-fn what_an_agent_tells_is_had_within_the_grace_of_a_drain() {
-    let latest = latest(true, Timeouts::PUSHED);
-    assert!(latest <= GRACE, "{latest:?}");
+fn pushed_changes_are_received_within_the_drain_grace() {
+    let max_delay = max_delay(true, Timeouts::PUSHED);
+    assert!(max_delay <= DRAIN_GRACE, "{max_delay:?}");
 }
 
 #[test]
-fn what_a_service_tells_is_had_within_the_grace_of_a_drain() {
-    let latest = latest(false, Timeouts::ASKED);
-    assert!(latest <= GRACE, "{latest:?}");
+fn polled_changes_are_received_within_the_drain_grace() {
+    let max_delay = max_delay(false, Timeouts::ON_REQUEST);
+    assert!(max_delay <= DRAIN_GRACE, "{max_delay:?}");
 }
 
-/// The plays are hard enough to find out timeouts that are too long: the former one, and each part of it alone.
+/// Checks that the simulation is hard enough to detect timeouts that are too long.
 #[test]
-fn timeouts_that_are_too_long_are_found_out() {
-    let former = Timeouts {
+fn the_simulation_detects_timeouts_that_are_too_long() {
+    let long_polls = Timeouts {
         hold: (ms(5000), ms(5000)),
-        grace: ms(1000),
-        answer: (ms(6000), ms(6000)),
+        hold_margin: ms(1000),
+        response: (ms(6000), ms(6000)),
         ..Timeouts::PUSHED
     };
-    let alone = Timeouts { most: 1, ..Timeouts::PUSHED };
-    let slow = Timeouts { overdue: ms(1000), again: (ms(50), ms(800)), ..Timeouts::PUSHED };
-    let asked =
-        Timeouts { again: (ms(5000), ms(10_000)), answer: (ms(21_000), ms(21_000)), ..Timeouts::ASKED };
-    // After a failure a watch of the usual length holds up what counts 6 s after it was there to be told.
-    let trusting = Timeouts { hold: (ms(20_000), ms(20_000)), ..Timeouts::ASKED };
-    for (pushed, timeouts) in [(true, former), (true, alone), (true, slow), (false, asked), (false, trusting)]
-    {
-        assert!(latest(pushed, timeouts) > GRACE, "{timeouts:?}");
+    let single_poll = Timeouts { max_in_flight: 1, ..Timeouts::PUSHED };
+    let long_backoff = Timeouts { overdue_after: ms(1000), backoff: (ms(50), ms(800)), ..Timeouts::PUSHED };
+    let long_response = Timeouts {
+        backoff: (ms(5000), ms(10_000)),
+        response: (ms(21_000), ms(21_000)),
+        ..Timeouts::ON_REQUEST
+    };
+    // After a failure, changes count as known 6 s later however long the hold time is.
+    let long_hold_after_failure = Timeouts { hold: (ms(20_000), ms(20_000)), ..Timeouts::ON_REQUEST };
+    for (pushed, timeouts) in [
+        (true, long_polls),
+        (true, single_poll),
+        (true, long_backoff),
+        (false, long_response),
+        (false, long_hold_after_failure),
+    ] {
+        assert!(max_delay(pushed, timeouts) > DRAIN_GRACE, "{timeouts:?}");
     }
 }
 
 #[test]
-fn a_list_that_is_well_is_asked_for_by_one_call_at_a_time() {
-    for timeouts in [Timeouts::PUSHED, Timeouts::ASKED] {
+fn one_poll_at_a_time_is_in_flight_while_responses_arrive() {
+    for timeouts in [Timeouts::PUSHED, Timeouts::ON_REQUEST] {
         let mut poller = Poller::new(timeouts, None);
-        let first = poller.call(ms(0), false, false).expect("at once");
+        let first = poller.next(ms(0), false, false).expect("due at once");
         assert_eq!((first.from, first.hold), (None, ms(0)));
-        assert!(poller.answered(ms(10), first.call, 7, true));
-        let watch = poller.call(ms(10), false, true).expect("at once");
-        assert_eq!((watch.from, watch.hold), (Some(7), timeouts.hold.0));
-        assert_eq!(poller.call(ms(10) + timeouts.hold.0, false, true), None);
-        assert!(poller.answered(ms(10) + timeouts.hold.0, watch.call, 7, false));
-        assert_eq!(poller.call(ms(10) + timeouts.hold.0, true, true).map(|ask| ask.from), Some(None));
+        assert!(poller.on_response(ms(10), first.id, 7, true));
+        let long_poll = poller.next(ms(10), false, true).expect("due at once");
+        assert_eq!((long_poll.from, long_poll.hold), (Some(7), timeouts.hold.0));
+        assert_eq!(poller.next(ms(10) + timeouts.hold.0, false, true), None);
+        assert!(poller.on_response(ms(10) + timeouts.hold.0, long_poll.id, 7, false));
+        assert_eq!(poller.next(ms(10) + timeouts.hold.0, true, true).map(|poll| poll.from), Some(None));
     }
 }
 
 #[test]
-fn at_another_address_the_whole_list_comes_first() {
+fn the_full_list_is_fetched_from_a_new_address() {
     let mut poller = Poller::new(Timeouts::PUSHED, Some(7));
-    poller.call(ms(0), false, false).expect("a call");
-    poller.moved(ms(100));
-    let ask = poller.call(ms(100), false, false).expect("at once");
-    assert_eq!((ask.call, ask.from, ask.hold), (1, None, ms(0)));
+    poller.next(ms(0), false, false).expect("a poll");
+    poller.address_changed(ms(100));
+    let poll = poller.next(ms(100), false, false).expect("due at once");
+    assert_eq!((poll.id, poll.from, poll.hold), (1, None, ms(0)));
 }
 
-/// Each answer of an agent that ends its connections was followed at once by a call that did not wait.
+/// Guards against a busy loop of polls without a hold time when the agent closes the connection after each
+/// response.
 #[test]
-fn an_agent_that_ends_each_connection_is_not_asked_without_end() {
+fn an_agent_that_closes_each_connection_is_not_polled_in_a_busy_loop() {
     let mut poller = Poller::new(Timeouts::PUSHED, Some(7));
     let mut now = ms(0);
     for _ in 0..10 {
-        let ask = poller.call(now, false, false).expect("at once");
-        now += ask.hold + ms(1);
-        assert!(poller.answered(now, ask.call, 7, false));
+        let poll = poller.next(now, false, false).expect("due at once");
+        now += poll.hold + ms(1);
+        assert!(poller.on_response(now, poll.id, 7, false));
     }
-    assert!(now >= 5 * Timeouts::PUSHED.hold.0, "10 calls in {now:?}");
+    assert!(now >= 5 * Timeouts::PUSHED.hold.0, "10 polls in {now:?}");
 }
 
-/// Discovery that began anew counts from the start, and would bring changes to a list that the node does not have.
+/// A restarted server counts versions from the start, and its changes do not apply to the list that the node
+/// has.
 #[test]
-fn after_a_version_that_goes_back_the_whole_list_is_asked_for() {
-    for timeouts in [Timeouts::PUSHED, Timeouts::ASKED] {
+fn the_full_list_is_fetched_after_the_version_goes_backwards() {
+    for timeouts in [Timeouts::PUSHED, Timeouts::ON_REQUEST] {
         let mut poller = Poller::new(timeouts, Some(41));
-        let ask = poller.call(ms(0), false, true).expect("at once");
-        assert!(!poller.answered(ms(10), ask.call, 3, false));
-        let ask = poller.call(ms(10), false, true).expect("at once");
-        assert_eq!((ask.from, ask.hold), (None, ms(0)));
-        assert!(poller.answered(ms(20), ask.call, 3, true), "a whole list is taken at any version");
-        assert_eq!(poller.call(ms(20), false, true).and_then(|ask| ask.from), Some(3));
+        let poll = poller.next(ms(0), false, true).expect("due at once");
+        assert!(!poller.on_response(ms(10), poll.id, 3, false));
+        let poll = poller.next(ms(10), false, true).expect("due at once");
+        assert_eq!((poll.from, poll.hold), (None, ms(0)));
+        assert!(poller.on_response(ms(20), poll.id, 3, true), "a full list applies at any version");
+        assert_eq!(poller.next(ms(20), false, true).and_then(|poll| poll.from), Some(3));
     }
 }
 
-/// Until a watch has been answered again, one that falls silent has to leave time within the 6 s.
+/// Until a long poll has been answered again, one that hangs must leave time for another poll within the 6 s.
 #[test]
-fn the_first_watch_of_a_service_after_a_failure_is_short() {
-    let Timeouts { hold, again, .. } = Timeouts::ASKED;
-    let mut poller = Poller::new(Timeouts::ASKED, Some(7));
-    let watch = poller.call(ms(0), false, false).expect("at once");
-    assert_eq!(watch.hold, hold.0);
-    poller.failed(watch.limit, watch.call);
-    let mut now = watch.limit + again.0;
-    for wanted in [ms(0), hold.1, hold.0] {
-        let ask = poller.call(now, false, true).expect("at once");
-        assert_eq!(ask.hold, wanted);
-        now += ask.hold + ms(10);
-        assert!(poller.answered(now, ask.call, 7, false));
+fn the_first_long_poll_on_request_after_a_failure_is_short() {
+    let Timeouts { hold, backoff, .. } = Timeouts::ON_REQUEST;
+    let mut poller = Poller::new(Timeouts::ON_REQUEST, Some(7));
+    let long_poll = poller.next(ms(0), false, false).expect("due at once");
+    assert_eq!(long_poll.hold, hold.0);
+    poller.on_failure(long_poll.timeout, long_poll.id);
+    let mut now = long_poll.timeout + backoff.0;
+    for expected in [ms(0), hold.1, hold.0] {
+        let poll = poller.next(now, false, true).expect("due at once");
+        assert_eq!(poll.hold, expected);
+        now += poll.hold + ms(10);
+        assert!(poller.on_response(now, poll.id, 7, false));
     }
 }
--- a/node/src/driver/mod.rs
+++ b/node/src/driver/mod.rs
@@ -1,9 +1,6 @@
-//! Between the sockets and the module: the sole owner of the [`Balancer`]. Events go in, actions come out; what an
-//! action asks of the network is left to a [`Transport`]. Nothing is decided here, and no borrow of the driver
-//! outlives one of its calls.
-//!
-//! This file holds the turn of events. Beside it: `exchange`, what passes between the driver and the sockets;
-//! `requests`, whom each answer goes to; `backends`, names, numbers and addresses; `timers`, what comes due.
+//! The driver: the sole owner of the [`Balancer`]. It passes events to the balancer and carries out the
+//! resulting actions; network I/O is done by a [`Transport`]. It makes no load-balancing decision, and no
+//! borrow of its state outlives a call.
 
 mod backends;
 mod requests;
@@ -29,30 +26,31 @@
 use tracing::Level;
 
 use backends::Backends;
-use requests::Requests;
-use timers::{Due, Timers};
+use requests::RequestTable;
+use timers::{Timer, TimerQueue};
 pub use types::{
     Attempt, AttemptId, BackendEntry, ClientRequest, FinalResponse, HttpRequest, ListState, UpstreamResult,
 };
 
-/// How long past a request's end the driver waits for the module before it answers by itself: longer than
-/// the module's own housekeeping, well inside the slack that the rules leave.
-const BACKSTOP: Nanos = 20_000_000;
+/// How long after its deadline the driver fails a request that the balancer has left open. Longer than the
+/// balancer takes to end it, and within the slack that the rules allow.
+const WATCHDOG_DELAY_NS: Nanos = 20_000_000;
 
-const MILLISECOND: Nanos = 1_000_000;
-/// The log's target for slow start: attempts that it grants are at debug, those that it refuses at trace.
+const NANOS_PER_MS: Nanos = 1_000_000;
+/// Log target for slow start: attempts that it allows are logged at debug, those that it denies at trace.
 const SLOW_START: &str = "badgerpost::slow_start";
 
-/// A figure with two digits behind the point.
-fn rounded(figure: f64) -> f64 {
-    (figure * 100.0).round() / 100.0
+/// Rounds to two decimals.
+fn rounded(value: f64) -> f64 {
+    (value * 100.0).round() / 100.0
 }
 
-/// Carries out on the network what the module asks for.
+/// Makes attempts over the network.
 pub trait Transport {
-    /// Starts an attempt; its end comes back by [`Node::settled`], exactly once.
+    /// Starts an attempt. Its result is reported to [`Node::attempt_ended`], exactly once.
     fn start_attempt(&self, node: &Node, attempt: Attempt);
-    /// Drops the idle connections to a backend that has left, moved or started anew.
+    /// Closes the idle connections to a backend that is draining, was removed, restarted or changed its
+    /// address.
     fn close_idle(&self, backend: BackendId);
 }
 
@@ -60,42 +58,42 @@
     clock: Clock,
     balancer: Balancer,
     settings: Settings,
-    words: NameTable,
-    requests: Requests,
+    names: NameTable,
+    requests: RequestTable,
     backends: Backends,
-    timers: Timers,
-    /// Set by the module's wish for the whole list.
-    whole_list: bool,
+    timers: TimerQueue,
+    /// Whether the balancer has requested the full list.
+    fetch_requested: bool,
 }
 
-/// Work that an event has left for the network.
+/// Work to be done once the borrow of the driver has ended.
 #[derive(Default)]
-struct Errands {
+struct DeferredWork {
     attempts: Vec<Attempt>,
-    retired: Vec<BackendId>,
-    /// Attempts on a backend that has left the list meanwhile.
-    moot: Vec<AttemptId>,
-    ask: bool,
-    rearm: bool,
+    close_idle: Vec<BackendId>,
+    /// Attempts at backends that have been removed from the list.
+    unsendable: Vec<AttemptId>,
+    request_discovery: bool,
+    rearm_timer: bool,
 }
 
-/// A handle on the driver. Cheap to clone.
+/// A handle to the driver. Cheap to clone.
 #[derive(Clone)]
 pub struct Node {
     driver: Rc<RefCell<Driver>>,
     transport: Rc<dyn Transport>,
-    timer: Rc<Notify>,
-    asked: Rc<Notify>,
+    timer_changed: Rc<Notify>,
+    discovery_request: Rc<Notify>,
     clock: Clock,
-    /// How the list stands; none where an agent tells it.
+    /// State of the list watched at the registry; none without a registry.
     list: Rc<Cell<Option<ListState>>>,
 }
 
 impl Node {
-    /// A node with no backends yet.
+    /// Creates a node without backends.
     pub fn new(
         settings: Settings,
-        words: NameTable,
+        names: NameTable,
         seed: u64,
         clock: Clock,
         transport: Rc<dyn Transport>,
@@ -104,170 +102,169 @@
             clock,
             balancer: Balancer::new(settings.clone(), seed, clock.now())?,
             settings,
-            words,
-            requests: Requests::default(),
+            names,
+            requests: RequestTable::default(),
             backends: Backends::default(),
-            timers: Timers::default(),
-            whole_list: false,
+            timers: TimerQueue::default(),
+            fetch_requested: false,
         };
         let driver = Rc::new(RefCell::new(driver));
-        let (timer, asked, list) = Default::default();
-        let node = Self { driver, transport, timer, asked, clock, list };
-        node.tell(|driver, errands| driver.hear(Event::Start, errands));
+        let (timer_changed, discovery_request, list) = Default::default();
+        let node = Self { driver, transport, timer_changed, discovery_request, clock, list };
+        node.with_driver(|driver, deferred| driver.handle_event(Event::Start, deferred));
         Ok(node)
     }
 
-    /// The node's clock.
     pub fn clock(&self) -> Clock {
         self.clock
     }
 
-    /// A class's number, time limit and effect, or none where the settings do not list it.
+    /// Index, deadline and idempotency of a request class; none if the settings do not list it.
     pub fn class(&self, name: &str) -> Option<(u32, Nanos, Idempotency)> {
         let driver = self.driver.borrow();
-        let class = driver.words.class(name)?;
+        let class = driver.names.class(name)?;
         let settings = driver.settings.classes.get(class as usize)?;
         Some((class, settings.deadline, settings.idempotency))
     }
 
-    /// A tenant's number. `Err` for a name that the settings of a site with tenants do not list.
+    /// Index of a tenant; none if the settings list no tenants at all.
     pub fn tenant(&self, name: Option<&str>) -> Result<Option<u32>, UnknownTenant> {
         let driver = self.driver.borrow();
         if driver.settings.tenant_quotas.is_empty() {
             return Ok(None);
         }
-        driver.words.tenant(name).map(Some).ok_or(UnknownTenant)
+        driver.names.tenant(name).map(Some).ok_or(UnknownTenant)
     }
 
-    /// The longest that any client waits.
+    /// The longest deadline of all request classes.
     pub fn longest_deadline(&self) -> Duration {
         let driver = self.driver.borrow();
         Duration::from_nanos(driver.settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0))
     }
 
-    /// Whether the site's discovery has to be asked.
-    pub fn asks_discovery(&self) -> bool {
+    /// Whether discovery is queried on request rather than pushing changes.
+    pub fn discovery_is_on_request(&self) -> bool {
         self.driver.borrow().settings.discovery == DiscoveryMode::OnRequest
     }
 
-    /// Takes a request; the answer comes through what is returned. Dropping that first means that the client
-    /// has gone.
+    /// Accepts a request. Dropping the returned [`PendingRequest`] before its response means that the client
+    /// has disconnected.
     pub fn submit(&self, client_request: ClientRequest) -> PendingRequest {
         let (sender, response) = oneshot::channel();
-        let request = self.tell(|driver, errands| driver.submit(client_request, sender, errands));
+        let request = self.with_driver(|driver, deferred| driver.submit(client_request, sender, deferred));
         PendingRequest { node: self.clone(), request, response }
     }
 
-    /// Whether an attempt may still be written: a connect can outlast its request, or the grace of a backend
-    /// that has begun to drain.
+    /// Whether an attempt may still be written. Its request may have ended during the connect, or its backend
+    /// may have been removed or drained past the grace period.
     pub fn may_send(&self, id: AttemptId) -> bool {
         let driver = self.driver.borrow();
         let (now, grace) = (driver.clock.now(), driver.settings.rules.drain_grace);
-        // Half the grace: telling began before the list was read here, and the bytes have a way to go.
-        driver.requests.live(id.request, now) && driver.backends.may_send_to(id.backend, now, grace / 2)
+        // Half the grace period, as the drain began before this node learned of it and sending takes time.
+        driver.requests.is_open_at(id.request, now) && driver.backends.may_send_to(id.backend, now, grace / 2)
     }
 
-    /// Whether any backend is known that takes requests.
+    /// Whether at least one backend is in service.
     pub fn has_backend_in_service(&self) -> bool {
         self.driver.borrow().backends.any_in_service()
     }
 
-    /// Whether a backend takes requests, at this address.
+    /// Whether the backend is in service at this address.
     pub fn is_in_service(&self, backend: BackendId, endpoint: SocketAddr) -> bool {
         self.driver.borrow().backends.is_in_service(backend, endpoint)
     }
 
-    /// Takes the end of an attempt.
+    /// Reports the result of an attempt.
     pub fn attempt_ended(&self, id: AttemptId, result: UpstreamResult) {
-        self.tell(|driver, errands| driver.attempt_ended(id, result, errands));
+        self.with_driver(|driver, deferred| driver.attempt_ended(id, result, deferred));
     }
 
-    /// Takes a list from discovery.
+    /// Applies a list from discovery or the registry.
     pub fn update_backends(&self, scope: ListScope, list: Vec<BackendEntry>) {
-        self.tell(|driver, errands| driver.update_backends(scope, list, errands));
+        self.with_driver(|driver, deferred| driver.update_backends(scope, list, deferred));
     }
 
-    /// Discovery has answered that nothing has changed.
+    /// Records that discovery has answered without changes.
     pub fn list_unchanged(&self) {
         let mut driver = self.driver.borrow_mut();
         let now = driver.clock.now();
-        driver.backends.heard(now);
+        driver.backends.discovery_responded(now);
     }
 
-    /// Takes the fleet file's orders on zones. None is taken if one makes no sense here; the text says why.
+    /// Applies the zone overrides of the fleet file. If one is invalid, none is applied and the error says
+    /// why.
     pub fn apply_zone_overrides(&self, fleet: &Fleet) -> Result<(), String> {
-        self.tell(|driver, errands| driver.apply_zone_overrides(fleet, errands))
+        self.with_driver(|driver, deferred| driver.apply_zone_overrides(fleet, deferred))
     }
 
-    /// A call to discovery has failed. A wish for one from before that, such as the one at the start, has been
-    /// met by this call: kept, it would have the next call made at once, by all nodes that started together.
+    /// Reports that a call to discovery has failed. This consumes a pending discovery request, such as the
+    /// one at the start: otherwise all nodes that started together would call again at once.
     pub fn discovery_failed(&self) {
-        std::pin::pin!(self.asked.notified()).enable();
-        self.tell(|driver, errands| driver.hear(Event::DiscoveryFailed, errands));
+        std::pin::pin!(self.discovery_request.notified()).enable();
+        self.with_driver(|driver, deferred| driver.handle_event(Event::DiscoveryFailed, deferred));
     }
 
-    /// Notes how the list stands.
     pub fn set_list_state(&self, state: ListState) {
         self.list.set(Some(state));
     }
 
-    /// How the list stands; none where an agent tells it.
+    /// State of the list watched at the registry; none without a registry.
     pub fn list_state(&self) -> Option<ListState> {
         self.list.get()
     }
 
-    /// Waits until the module asks for the watch or the list.
-    pub async fn discovery_wanted(&self) {
-        self.asked.notified().await;
+    /// Waits until the balancer requests a watch or the full list.
+    pub async fn discovery_requested(&self) {
+        self.discovery_request.notified().await;
     }
 
-    /// Whether the module wants the whole list next; asking takes the wish back.
-    pub fn take_whole_list(&self) -> bool {
-        std::mem::take(&mut self.driver.borrow_mut().whole_list)
+    /// Whether the balancer has requested the full list; clears the request.
+    pub fn take_fetch_request(&self) -> bool {
+        std::mem::take(&mut self.driver.borrow_mut().fetch_requested)
     }
 
-    /// Runs the timers; never ends.
+    /// Runs the timers; never returns.
     pub async fn run_timers(&self) {
         loop {
             let next = self.driver.borrow().timers.next();
             match next {
-                None => self.timer.notified().await,
+                None => self.timer_changed.notified().await,
                 Some(at) => {
                     tokio::select! {
                         () = tokio::time::sleep_until(self.clock.instant(at)) => {}
-                        () = self.timer.notified() => {}
+                        () = self.timer_changed.notified() => {}
                     }
                 }
             }
-            self.tell(|driver, errands| driver.fire(errands));
+            self.with_driver(|driver, deferred| driver.fire_timers(deferred));
         }
     }
 
-    /// One call into the driver; what it leaves to do is done once the borrow has ended.
-    fn tell<T>(&self, call: impl FnOnce(&mut Driver, &mut Errands) -> T) -> T {
-        let mut errands = Errands::default();
-        let result = call(&mut self.driver.borrow_mut(), &mut errands);
-        errands.retired.into_iter().for_each(|backend| self.transport.close_idle(backend));
-        errands.attempts.into_iter().for_each(|attempt| self.transport.start_attempt(self, attempt));
-        for id in errands.moot {
+    /// Calls the driver, then does the work that it has deferred until the borrow ends.
+    fn with_driver<T>(&self, call: impl FnOnce(&mut Driver, &mut DeferredWork) -> T) -> T {
+        let mut deferred = DeferredWork::default();
+        let result = call(&mut self.driver.borrow_mut(), &mut deferred);
+        deferred.close_idle.into_iter().for_each(|backend| self.transport.close_idle(backend));
+        deferred.attempts.into_iter().for_each(|attempt| self.transport.start_attempt(self, attempt));
+        for id in deferred.unsendable {
             self.attempt_ended(id, UpstreamResult::new(Outcome::Moot));
         }
-        if errands.ask {
-            self.asked.notify_one();
+        if deferred.request_discovery {
+            self.discovery_request.notify_one();
         }
-        if errands.rearm {
-            self.timer.notify_one();
+        if deferred.rearm_timer {
+            self.timer_changed.notify_one();
         }
         result
     }
 }
 
-/// The settings name no such tenant.
+/// The settings do not list the tenant.
 #[derive(Debug, thiserror::Error)]
 #[error("unknown tenant")]
 pub struct UnknownTenant;
 
-/// A request that is owed its answer.
+/// A request that awaits its final response.
 pub struct PendingRequest {
     node: Node,
     request: RequestId,
@@ -275,62 +272,64 @@
 }
 
 impl PendingRequest {
-    /// The final answer.
     pub async fn response(mut self) -> FinalResponse {
-        // The sender is dropped unused only if the request has vanished, which promises nothing.
+        // The sender is dropped without a response only if the request has been lost.
         (&mut self.response).await.unwrap_or(FinalResponse::Failed)
     }
 }
 
 impl Drop for PendingRequest {
-    /// A client that hangs up takes its connection's task with it, and so this: the one place that notices.
+    /// A client that disconnects ends its connection's task, which drops this.
     fn drop(&mut self) {
         let request = self.request;
-        self.node.tell(|driver, errands| driver.client_gone(request, errands));
+        self.node.with_driver(|driver, deferred| driver.client_disconnected(request, deferred));
     }
 }
 
 impl Driver {
-    fn hear(&mut self, event: Event, errands: &mut Errands) {
+    fn handle_event(&mut self, event: Event, deferred: &mut DeferredWork) {
         let mut actions = Vec::new();
         self.balancer.handle(self.clock.now(), event, &mut actions);
         for action in actions {
-            self.act(action, errands);
+            self.apply_action(action, deferred);
         }
     }
 
-    fn act(&mut self, action: Action, errands: &mut Errands) {
+    fn apply_action(&mut self, action: Action, deferred: &mut DeferredWork) {
         match action {
             Action::Send { request, backend, timeout, send_by } => {
-                self.send(request, backend, (timeout, send_by), errands);
+                self.send(request, backend, (timeout, send_by), deferred);
             }
             Action::Reject { request, retry_after } => {
                 self.finish(request, FinalResponse::Rejected(retry_after))
             }
             Action::Fail { request } => self.finish(request, FinalResponse::Failed),
-            Action::Cancel { request, attempt } => self.requests.withdraw(request, attempt),
-            // The settings may allow probes, but they cost the servers work and the module asks for none.
+            Action::Cancel { request, attempt } => self.requests.cancel_attempt(request, attempt),
+            // The settings may allow probes, but the balancer requests none as they put load on the backends.
             Action::Probe { backend } => {
-                tracing::warn!(backend = self.backends.uid(backend), "probe asked for; nodes make none");
+                tracing::warn!(
+                    backend = self.backends.uid(backend),
+                    "probe requested, but probes are not supported"
+                );
             }
-            Action::Watch => errands.ask = true,
+            Action::Watch => deferred.request_discovery = true,
             Action::Fetch => {
-                self.whole_list = true;
-                errands.ask = true;
+                self.fetch_requested = true;
+                deferred.request_discovery = true;
             }
             Action::Timer { after, token } => {
-                self.set_timer(self.clock.now().saturating_add(after), Due::Module(token), errands);
+                self.set_timer(self.clock.now().saturating_add(after), Timer::Balancer(token), deferred);
             }
             Action::Log(event) => self.log(event),
         }
     }
 
-    /// The module's notes, with the names that people know.
+    /// Logs a balancer event with names in place of ids.
     fn log(&self, event: LogEvent) {
         match event {
             LogEvent::Spillover { home, spilling, best } => {
-                let (zone, best) = (self.words.zone_name(home), self.words.zone_name(best));
-                tracing::info!(zone, spilling, best, "home zone crossed the threshold");
+                let (zone, best) = (self.names.zone_name(home), self.names.zone_name(best));
+                tracing::info!(zone, spilling, best, "home zone crossed the spillover threshold");
             }
             LogEvent::Ejected { backend, duration, cause } => {
                 let backend = self.backends.uid(backend);
@@ -341,7 +340,11 @@
                 tracing::info!(backend = self.backends.uid(backend), "backend warm");
             }
             LogEvent::ShareReached { zone, percent } => {
-                tracing::info!(zone = self.words.zone_name(zone), percent, "the zone has its ordered share");
+                tracing::info!(
+                    zone = self.names.zone_name(zone),
+                    percent,
+                    "zone reached its configured traffic share"
+                );
             }
             LogEvent::Readmitted { backend } => {
                 tracing::info!(backend = self.backends.uid(backend), "backend readmitted");
@@ -349,7 +352,7 @@
         }
     }
 
-    /// Work in requests of mean work, parts in percent: a line is read by people.
+    /// Work is logged in requests of average cost, fractions in percent.
     fn log_slow_start(&self, decision: SlowStartDecision) {
         macro_rules! log {
             ($level:expr) => {
@@ -358,7 +361,7 @@
                     $level,
                     backend = self.backends.uid(decision.backend),
                     branch = ?decision.branch,
-                    age_ms = decision.age / MILLISECOND,
+                    age_ms = decision.age / NANOS_PER_MS,
                     ramp_percent = (100.0 * decision.ramp).round(),
                     estimate = rounded(decision.capacity_estimate),
                     measured = rounded(decision.measured_rate),
@@ -377,27 +380,30 @@
         if decision.branch.grants() { log!(Level::DEBUG) } else { log!(Level::TRACE) }
     }
 
-    fn set_timer(&mut self, at: Nanos, due: Due, errands: &mut Errands) {
-        errands.rearm |= self.timers.set(at, due);
+    fn set_timer(&mut self, at: Nanos, timer: Timer, deferred: &mut DeferredWork) {
+        deferred.rearm_timer |= self.timers.set(at, timer);
     }
 
-    fn fire(&mut self, errands: &mut Errands) {
+    fn fire_timers(&mut self, deferred: &mut DeferredWork) {
         let now = self.clock.now();
-        while let Some(due) = self.timers.pop(now) {
-            match due {
-                Due::Module(token) => self.hear(Event::Timer { token }, errands),
-                Due::Backstop(request) => self.backstop(request, errands),
+        while let Some(timer) = self.timers.pop(now) {
+            match timer {
+                Timer::Balancer(token) => self.handle_event(Event::Timer { token }, deferred),
+                Timer::Watchdog(request) => self.watchdog_expired(request, deferred),
             }
         }
     }
 
-    /// Guards against a request that the module forgot: past the client's time it fails, come what may.
-    fn backstop(&mut self, request: RequestId, errands: &mut Errands) {
-        if self.requests.waits(request) {
-            tracing::warn!(request = self.requests.call_id(request), "a request had no answer at its end");
+    /// Fails a request that the balancer has left open past its deadline.
+    fn watchdog_expired(&mut self, request: RequestId, deferred: &mut DeferredWork) {
+        if self.requests.is_open(request) {
+            tracing::warn!(
+                request = self.requests.call_id(request),
+                "request had no response at its deadline"
+            );
             self.finish(request, FinalResponse::Failed);
-            self.hear(Event::ClientDisconnected { request }, errands);
-            self.requests.forget_if_done(request);
+            self.handle_event(Event::ClientDisconnected { request }, deferred);
+            self.requests.remove_if_done(request);
         }
     }
 
@@ -405,11 +411,11 @@
         &mut self,
         client_request: ClientRequest,
         sender: oneshot::Sender<FinalResponse>,
-        errands: &mut Errands,
+        deferred: &mut DeferredWork,
     ) -> RequestId {
-        let not_after = self.clock.now().saturating_add(client_request.budget);
-        let request = self.requests.open(client_request.http, sender, not_after);
-        self.set_timer(not_after.saturating_add(BACKSTOP), Due::Backstop(request), errands);
+        let deadline = self.clock.now().saturating_add(client_request.budget);
+        let request = self.requests.insert(client_request.http, sender, deadline);
+        self.set_timer(deadline.saturating_add(WATCHDOG_DELAY_NS), Timer::Watchdog(request), deferred);
         let (class, budget_ms) = (client_request.class, client_request.budget / 1_000_000);
         tracing::debug!(request = self.requests.call_id(request), class, budget_ms, "request received");
         let arrival = Arrival {
@@ -418,10 +424,10 @@
             cost_hint: client_request.cost_hint,
             is_retry: client_request.is_retry,
             tenant: client_request.tenant,
-            not_after,
+            not_after: deadline,
         };
-        self.hear(Event::Request(arrival), errands);
-        self.requests.forget_if_done(request);
+        self.handle_event(Event::Request(arrival), deferred);
+        self.requests.remove_if_done(request);
         request
     }
 
@@ -430,47 +436,47 @@
         request: RequestId,
         backend: BackendId,
         (timeout, send_by): (Option<Nanos>, Option<Nanos>),
-        errands: &mut Errands,
+        deferred: &mut DeferredWork,
     ) {
         let now = self.clock.now();
-        let Some(begun) = self.requests.begin(request, now) else { return };
-        let id = AttemptId { request, attempt: begun.attempt, backend };
+        let Some(started) = self.requests.start_attempt(request, now) else { return };
+        let id = AttemptId { request, attempt: started.attempt, backend };
         let Some(endpoint) = self.backends.endpoint(backend) else {
-            errands.moot.push(id);
+            deferred.unsendable.push(id);
             return;
         };
         tracing::debug!(
             request = self.requests.call_id(request),
-            attempt = begun.attempt,
+            attempt = started.attempt,
             backend = self.backends.uid(backend),
             "attempt started"
         );
-        let end = timeout.map_or(Nanos::MAX, |timeout| now.saturating_add(timeout));
-        errands.attempts.push(Attempt {
+        let deadline = timeout.map_or(Nanos::MAX, |timeout| now.saturating_add(timeout));
+        deferred.attempts.push(Attempt {
             id,
             backend,
             endpoint,
-            http: begun.http,
-            give_up: end.min(begun.not_after),
-            not_after: begun.not_after,
+            http: started.http,
+            deadline: deadline.min(started.client_deadline),
+            client_deadline: started.client_deadline,
             send_by: send_by.unwrap_or(Nanos::MAX),
-            withdrawn: begun.withdrawn,
+            cancelled: started.cancelled,
         });
     }
 
-    /// Gives the final answer. Only the first one of a request goes out.
+    /// Sends the final response, unless the request has already ended.
     fn finish(&mut self, request: RequestId, response: FinalResponse) {
-        let answer = response.word();
-        if let Some(not_after) = self.requests.finish(request, response) {
+        let answer = response.label();
+        if let Some(deadline) = self.requests.finish(request, response) {
             tracing::debug!(request = self.requests.call_id(request), answer, "request ended");
-            self.timers.clear(not_after.saturating_add(BACKSTOP), Due::Backstop(request));
+            self.timers.clear(deadline.saturating_add(WATCHDOG_DELAY_NS), Timer::Watchdog(request));
         }
     }
 
-    fn attempt_ended(&mut self, id: AttemptId, result: UpstreamResult, errands: &mut Errands) {
+    fn attempt_ended(&mut self, id: AttemptId, result: UpstreamResult, deferred: &mut DeferredWork) {
         let AttemptId { request, attempt, backend } = id;
-        let Some(since) = self.requests.settle(request, attempt) else { return };
-        let elapsed = self.clock.now().saturating_sub(since);
+        let Some(started_at) = self.requests.end_attempt(request, attempt) else { return };
+        let elapsed = self.clock.now().saturating_sub(started_at);
         let (outcome, report) = (result.outcome, result.report);
         tracing::debug!(
             request = self.requests.call_id(request),
@@ -483,57 +489,57 @@
         if outcome == Outcome::Served {
             self.finish(request, FinalResponse::Served(result.body));
         }
-        let request_ended = !self.requests.waits(request);
+        let request_ended = !self.requests.is_open(request);
         let attempt_result = AttemptResult { request, attempt, outcome, elapsed, request_ended, report };
-        self.hear(Event::AttemptEnded(attempt_result), errands);
-        self.requests.forget_if_done(request);
+        self.handle_event(Event::AttemptEnded(attempt_result), deferred);
+        self.requests.remove_if_done(request);
     }
 
-    fn client_gone(&mut self, request: RequestId, errands: &mut Errands) {
-        if self.requests.waits(request) {
+    fn client_disconnected(&mut self, request: RequestId, deferred: &mut DeferredWork) {
+        if self.requests.is_open(request) {
             self.finish(request, FinalResponse::Failed);
-            self.hear(Event::ClientDisconnected { request }, errands);
+            self.handle_event(Event::ClientDisconnected { request }, deferred);
         }
-        self.requests.forget_if_done(request);
+        self.requests.remove_if_done(request);
     }
 
-    fn apply_zone_overrides(&mut self, fleet: &Fleet, errands: &mut Errands) -> Result<(), String> {
+    fn apply_zone_overrides(&mut self, fleet: &Fleet, deferred: &mut DeferredWork) -> Result<(), String> {
         let known: Vec<&str> =
-            (0..self.settings.zone_count).map(|zone| self.words.zone_name(ZoneId(zone))).collect();
+            (0..self.settings.zone_count).map(|zone| self.names.zone_name(ZoneId(zone))).collect();
         let mut regions: Vec<&str> = vec![""];
-        let mut orders = Vec::new();
+        let mut overrides = Vec::new();
         for (name, zone) in &fleet.zones {
-            let Some(number) = known.iter().position(|known| known == name) else {
-                return Err(format!("zones.{name}: is none of {}", known.join(", ")));
+            let Some(index) = known.iter().position(|known| known == name) else {
+                return Err(format!("zones.{name}: unknown zone, expected one of {}", known.join(", ")));
             };
             let region = regions.iter().position(|region| *region == zone.region);
             let region = region.unwrap_or(regions.len());
             if region == regions.len() {
                 regions.push(&zone.region);
             }
-            orders.push(ZoneOverride {
-                zone: ZoneId(number as u32),
+            overrides.push(ZoneOverride {
+                zone: ZoneId(index as u32),
                 region: region as u32,
                 traffic_share: zone.share,
             });
         }
-        if orders.len() == known.len() && orders.iter().all(|order| order.traffic_share <= 0.0) {
-            return Err("zones: no zone may be given anything".to_owned());
+        if overrides.len() == known.len() && overrides.iter().all(|zone| zone.traffic_share <= 0.0) {
+            return Err("zones: every zone has a share of 0".to_owned());
         }
         for (name, zone) in &fleet.zones {
             let (region, share) = (&zone.region, zone.share);
-            tracing::info!(zone = name, region, share, "ordered");
+            tracing::info!(zone = name, region, share, "zone override applied");
         }
-        self.hear(Event::ZoneOverrides(orders), errands);
+        self.handle_event(Event::ZoneOverrides(overrides), deferred);
         Ok(())
     }
 
-    fn update_backends(&mut self, scope: ListScope, list: Vec<BackendEntry>, errands: &mut Errands) {
+    fn update_backends(&mut self, scope: ListScope, list: Vec<BackendEntry>, deferred: &mut DeferredWork) {
         let now = self.clock.now();
-        tracing::debug!(scope = ?scope, count = list.len(), "list taken");
-        let changed = self.backends.take(scope, list, now, &mut self.words);
-        errands.retired.extend(changed.retired);
-        self.hear(Event::BackendList { scope, members: changed.members }, errands);
-        errands.retired.extend(self.backends.drop_left(changed.left, now));
+        tracing::debug!(scope = ?scope, count = list.len(), "backend list received");
+        let change = self.backends.apply_list(scope, list, now, &mut self.names);
+        deferred.close_idle.extend(change.close_idle);
+        self.handle_event(Event::BackendList { scope, members: change.members }, deferred);
+        deferred.close_idle.extend(self.backends.remove(change.removed, now));
     }
 }
--- a/node/src/driver/requests.rs
+++ b/node/src/driver/requests.rs
@@ -1,4 +1,4 @@
-//! The requests that are open, or ended with an attempt still out: whom each answer goes to, and what is out.
+//! Table of the requests that are open or still have an attempt in flight.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -8,118 +8,116 @@
 
 use super::types::{FinalResponse, HttpRequest};
 
-struct Flight {
-    since: Nanos,
-    withdraw: Option<oneshot::Sender<()>>,
+struct InFlightAttempt {
+    started_at: Nanos,
+    cancel: Option<oneshot::Sender<()>>,
 }
 
-struct Open {
+struct RequestEntry {
     response: Option<oneshot::Sender<FinalResponse>>,
     http: Rc<HttpRequest>,
-    not_after: Nanos,
-    /// Attempts by number; none where settled.
-    attempts: Vec<Option<Flight>>,
+    deadline: Nanos,
+    /// Attempts by number; none for those that have ended.
+    attempts: Vec<Option<InFlightAttempt>>,
     ended: bool,
 }
 
-/// An attempt that has just been entered.
-pub struct Begun {
-    /// Its number, from 0.
+/// An attempt that has been added to its request.
+pub struct StartedAttempt {
+    /// Number within the request, from 0.
     pub attempt: u32,
-    /// What to send.
     pub http: Rc<HttpRequest>,
     /// When the client stops waiting.
-    pub not_after: Nanos,
-    /// Resolves once the attempt has been withdrawn.
-    pub withdrawn: oneshot::Receiver<()>,
+    pub client_deadline: Nanos,
+    /// Resolves once the attempt has been cancelled.
+    pub cancelled: oneshot::Receiver<()>,
 }
 
-/// The table of requests. Its bound is the clients' descriptors: each holds one request at most.
+/// The table of requests. Client connections bound its size, as each one carries at most one request.
 #[derive(Default)]
-pub struct Requests {
-    table: HashMap<RequestId, Open>,
-    next: u64,
+pub struct RequestTable {
+    entries: HashMap<RequestId, RequestEntry>,
+    next_id: u64,
 }
 
-impl Requests {
-    /// Enters a request, under a number that is used once in a node's life.
-    pub fn open(
+impl RequestTable {
+    /// Adds a request and returns its id, which is never reused.
+    pub fn insert(
         &mut self,
         http: HttpRequest,
         response: oneshot::Sender<FinalResponse>,
-        not_after: Nanos,
+        deadline: Nanos,
     ) -> RequestId {
-        let request = RequestId(self.next);
-        self.next += 1;
+        let request = RequestId(self.next_id);
+        self.next_id += 1;
         let (http, response) = (Rc::new(http), Some(response));
-        self.table.insert(request, Open { response, http, not_after, attempts: Vec::new(), ended: false });
+        self.entries
+            .insert(request, RequestEntry { response, http, deadline, attempts: Vec::new(), ended: false });
         request
     }
 
-    /// Enters an attempt; none for a request that is not known.
-    pub fn begin(&mut self, request: RequestId, now: Nanos) -> Option<Begun> {
-        let open = self.table.get_mut(&request)?;
-        let (withdraw, withdrawn) = oneshot::channel();
-        let attempt = open.attempts.len() as u32;
-        open.attempts.push(Some(Flight { since: now, withdraw: Some(withdraw) }));
-        Some(Begun { attempt, http: open.http.clone(), not_after: open.not_after, withdrawn })
+    /// Adds an attempt; none if the request is unknown.
+    pub fn start_attempt(&mut self, request: RequestId, now: Nanos) -> Option<StartedAttempt> {
+        let entry = self.entries.get_mut(&request)?;
+        let (cancel, cancelled) = oneshot::channel();
+        let attempt = entry.attempts.len() as u32;
+        entry.attempts.push(Some(InFlightAttempt { started_at: now, cancel: Some(cancel) }));
+        Some(StartedAttempt { attempt, http: entry.http.clone(), client_deadline: entry.deadline, cancelled })
     }
 
-    /// Tells whoever carries an attempt to stop.
-    pub fn withdraw(&mut self, request: RequestId, attempt: u32) {
-        let open = self.table.get_mut(&request);
-        let flight = open.and_then(|open| open.attempts.get_mut(attempt as usize));
-        let withdraw = flight.and_then(Option::as_mut).and_then(|flight| flight.withdraw.take());
-        // An attempt that ended meanwhile no longer listens: its own outcome is on the way.
-        let _ = withdraw.map(|withdraw| withdraw.send(()));
+    /// Signals the transport to stop an attempt.
+    pub fn cancel_attempt(&mut self, request: RequestId, attempt: u32) {
+        let entry = self.entries.get_mut(&request);
+        let in_flight = entry.and_then(|entry| entry.attempts.get_mut(attempt as usize));
+        let cancel = in_flight.and_then(Option::as_mut).and_then(|in_flight| in_flight.cancel.take());
+        // The receiver is gone if the attempt has just ended; its own result follows.
+        let _ = cancel.map(|cancel| cancel.send(()));
     }
 
-    /// Takes the end of an attempt, once: when it was sent.
-    pub fn settle(&mut self, request: RequestId, attempt: u32) -> Option<Nanos> {
-        let open = self.table.get_mut(&request)?;
-        let flight = open.attempts.get_mut(attempt as usize).and_then(Option::take)?;
-        Some(flight.since)
+    /// Removes an attempt and returns when it started; none if it has already ended.
+    pub fn end_attempt(&mut self, request: RequestId, attempt: u32) -> Option<Nanos> {
+        let entry = self.entries.get_mut(&request)?;
+        let in_flight = entry.attempts.get_mut(attempt as usize).and_then(Option::take)?;
+        Some(in_flight.started_at)
     }
 
-    /// Gives the final answer, of which only the first of a request goes out. The request's time limit, or none
-    /// if it waits for none.
+    /// Sends the final response and returns the request's deadline; does nothing if the request has ended.
     pub fn finish(&mut self, request: RequestId, response: FinalResponse) -> Option<Nanos> {
-        let open = self.table.get_mut(&request).filter(|open| !open.ended)?;
-        if let Some(sender) = open.response.take() {
-            // The client may have gone in this very moment.
+        let entry = self.entries.get_mut(&request).filter(|entry| !entry.ended)?;
+        if let Some(sender) = entry.response.take() {
+            // Fails if the client has just disconnected.
             let _ = sender.send(response);
         }
-        open.ended = true;
-        Some(open.not_after)
+        entry.ended = true;
+        Some(entry.deadline)
     }
 
-    /// Whether a request still waits for its answer.
-    pub fn waits(&self, request: RequestId) -> bool {
-        self.table.get(&request).is_some_and(|open| !open.ended)
+    /// Whether the request still awaits its final response.
+    pub fn is_open(&self, request: RequestId) -> bool {
+        self.entries.get(&request).is_some_and(|entry| !entry.ended)
     }
 
-    /// Whether a request still waits for its answer, and its client for it.
-    pub fn live(&self, request: RequestId, now: Nanos) -> bool {
-        self.table.get(&request).is_some_and(|open| !open.ended && now < open.not_after)
+    /// Whether the request still awaits its final response and its deadline has not passed.
+    pub fn is_open_at(&self, request: RequestId, now: Nanos) -> bool {
+        self.entries.get(&request).is_some_and(|entry| !entry.ended && now < entry.deadline)
     }
 
-    /// Drops a request that has ended with nothing out.
-    pub fn forget_if_done(&mut self, request: RequestId) {
-        let done = |open: &Open| open.ended && open.attempts.iter().all(Option::is_none);
-        if self.table.get(&request).is_some_and(done) {
-            self.table.remove(&request);
+    /// Removes the request if it has ended and has no attempt in flight.
+    pub fn remove_if_done(&mut self, request: RequestId) {
+        let done = |entry: &RequestEntry| entry.ended && entry.attempts.iter().all(Option::is_none);
+        if self.entries.get(&request).is_some_and(done) {
+            self.entries.remove(&request);
         }
     }
 
-    /// The client's own name for a request, for the log.
+    /// The client's `x-call-id`, for the log.
     pub fn call_id(&self, request: RequestId) -> &str {
-        let header = self.table.get(&request).and_then(|open| open.http.headers.get("x-call-id"));
+        let header = self.entries.get(&request).and_then(|entry| entry.http.headers.get("x-call-id"));
         header.and_then(|id| id.to_str().ok()).unwrap_or("-")
     }
 
-    /// How many are kept.
     #[cfg(test)]
     pub fn len(&self) -> usize {
-        self.table.len()
+        self.entries.len()
     }
 }
--- a/node/src/driver/tests.rs
+++ b/node/src/driver/tests.rs
@@ -1,4 +1,4 @@
-//! The driver without sockets, and the pieces that other parts' tests take from it.
+//! Tests of the driver without sockets, and helpers that the tests of other modules share.
 
 use std::future::Future;
 use std::task::{Context, Poll, Waker};
@@ -9,11 +9,11 @@
 
 use super::*;
 
-/// Keeps what it is asked to do.
+/// Records the calls it gets.
 #[derive(Default)]
 pub struct RecordingTransport {
     pub attempts: RefCell<Vec<Attempt>>,
-    pub retired: RefCell<Vec<BackendId>>,
+    pub close_idle: RefCell<Vec<BackendId>>,
 }
 
 impl Transport for RecordingTransport {
@@ -22,7 +22,7 @@
     }
 
     fn close_idle(&self, backend: BackendId) {
-        self.retired.borrow_mut().push(backend);
+        self.close_idle.borrow_mut().push(backend);
     }
 }
 
@@ -35,7 +35,7 @@
     (node_with_transport(drain_grace, discovery, transport.clone()), transport)
 }
 
-/// A node whose attempts go wherever this takes them.
+/// A node that makes its attempts over this transport.
 pub fn node_with_transport(drain_grace: Nanos, discovery: &str, transport: Rc<dyn Transport>) -> Node {
     let config = serde_json::json!({"az": "a", "zones": ["a"], "discovery": discovery,
         "classes": [{"name": "pay", "effect": "once", "on-time-ns": 2_000_000_000u64,
@@ -47,10 +47,10 @@
     Node::new(parsed.settings, parsed.names, 7, Clock::start(), transport).expect("a node")
 }
 
-/// Something that happens in the very moment in which an attempt is launched, before anything else can.
+/// Runs when an attempt is started, before the transport sees it.
 type Hook = Box<dyn FnOnce()>;
 
-/// Attempts over real connections, with a crossing.
+/// Makes attempts over real connections, with a hook that runs before the next one.
 pub struct HookedUpstream {
     pub upstream: crate::upstream::Upstream,
     pub before_attempt: RefCell<Option<Hook>>,
@@ -92,19 +92,20 @@
     ClientRequest { class: 0, tenant: None, cost_hint: None, is_retry: false, budget, http }
 }
 
-/// A connected pair of sockets, of which the second takes none of TCP's options.
+/// A connected pair of Unix sockets, the second wrapped as a TCP stream, on which setting `TCP_NODELAY`
+/// fails.
 pub fn stream_without_nodelay() -> (tokio::net::UnixStream, tokio::net::TcpStream) {
-    let (peer, stream) = std::os::unix::net::UnixStream::pair().expect("a pair");
-    peer.set_nonblocking(true).and(stream.set_nonblocking(true)).expect("not blocking");
+    let (peer, stream) = std::os::unix::net::UnixStream::pair().expect("socket pair");
+    peer.set_nonblocking(true).and(stream.set_nonblocking(true)).expect("set non-blocking");
     let stream = std::net::TcpStream::from(std::os::fd::OwnedFd::from(stream));
-    let peer = tokio::net::UnixStream::from_std(peer).expect("in the runtime");
-    let stream = tokio::net::TcpStream::from_std(stream).expect("in the runtime");
-    assert!(stream.set_nodelay(true).is_err(), "takes the option");
+    let peer = tokio::net::UnixStream::from_std(peer).expect("register with the runtime");
+    let stream = tokio::net::TcpStream::from_std(stream).expect("register with the runtime");
+    assert!(stream.set_nodelay(true).is_err(), "TCP_NODELAY was accepted");
     (peer, stream)
 }
 
-fn response(waiting: PendingRequest) -> Option<FinalResponse> {
-    let mut response = std::pin::pin!(waiting.response());
+fn poll_response(pending: PendingRequest) -> Option<FinalResponse> {
+    let mut response = std::pin::pin!(pending.response());
     match response.as_mut().poll(&mut Context::from_waker(Waker::noop())) {
         Poll::Ready(response) => Some(response),
         Poll::Pending => None,
@@ -119,63 +120,66 @@
 pub const SECOND: Nanos = 1_000_000_000;
 
 #[test]
-fn a_request_and_its_timer_are_forgotten_with_its_answer() {
+fn a_request_and_its_timer_are_removed_with_the_final_response() {
     let (node, transport) = node(SECOND);
     node.update_backends(ListScope::Full, vec![backend_entry("s", Stage::InService)]);
-    let waiting = node.submit(client_request(SECOND));
+    let pending = node.submit(client_request(SECOND));
     let attempt = transport.attempts.borrow_mut().pop().expect("an attempt");
     assert!(node.may_send(attempt.id));
     let result = UpstreamResult { body: Bytes::from_static(b"paid"), ..UpstreamResult::new(Outcome::Served) };
     node.attempt_ended(attempt.id, result);
-    assert!(matches!(response(waiting), Some(FinalResponse::Served(body)) if body == "paid"));
-    // A second end of the same attempt changes nothing.
+    assert!(matches!(poll_response(pending), Some(FinalResponse::Served(body)) if body == "paid"));
+    // A second result of the same attempt is ignored.
     node.attempt_ended(attempt.id, UpstreamResult::new(Outcome::Reset));
     assert_eq!(open_requests(&node), (0, 0));
-    assert!(!node.driver.borrow().timers.all().any(|due| matches!(due, Due::Backstop(_))));
+    assert!(!node.driver.borrow().timers.all().any(|timer| matches!(timer, Timer::Watchdog(_))));
 }
 
-/// A connect can outlast its request: what is written after the answer would be a send too many.
+/// A connect can outlast its request, which must then not be written.
 #[test]
 fn nothing_is_written_for_a_request_that_has_ended() {
     let (node, transport) = node(SECOND);
     node.update_backends(ListScope::Full, vec![backend_entry("s", Stage::InService)]);
-    let waiting = node.submit(client_request(SECOND));
+    let pending = node.submit(client_request(SECOND));
     let attempt = transport.attempts.borrow_mut().pop().expect("an attempt");
-    drop(waiting);
+    drop(pending);
     assert!(!node.may_send(attempt.id));
-    assert_eq!(open_requests(&node), (1, 1), "the attempt is still owed its end");
+    assert_eq!(open_requests(&node), (1, 1), "the attempt has not ended yet");
     node.attempt_ended(attempt.id, UpstreamResult::new(Outcome::Moot));
     assert_eq!(open_requests(&node), (0, 0));
 }
 
-/// A connect can outlast the grace of a backend that drains, and the backend's stay on the list.
+/// A connect can outlast the grace period of a draining backend, or the backend's removal.
 #[test]
-fn nothing_is_written_to_a_backend_past_its_grace() {
+fn nothing_is_written_to_a_backend_past_its_drain_grace() {
     for (grace, stage, may) in
         [(60 * SECOND, Stage::Draining, true), (0, Stage::Draining, false), (60 * SECOND, Stage::Gone, false)]
     {
         let (node, transport) = node(grace);
         node.update_backends(ListScope::Full, vec![backend_entry("s", Stage::InService)]);
-        let _waiting = node.submit(client_request(SECOND));
+        let _pending = node.submit(client_request(SECOND));
         let attempt = transport.attempts.borrow_mut().pop().expect("an attempt");
         node.update_backends(ListScope::Changes, vec![backend_entry("s", stage)]);
         assert_eq!(node.may_send(attempt.id), may, "{grace} {stage:?}");
-        assert_eq!(*transport.retired.borrow(), [attempt.backend; 2][..transport.retired.borrow().len()]);
-        assert!(!transport.retired.borrow().is_empty(), "its idle connections are dropped");
+        assert_eq!(
+            *transport.close_idle.borrow(),
+            [attempt.backend; 2][..transport.close_idle.borrow().len()]
+        );
+        assert!(!transport.close_idle.borrow().is_empty(), "its idle connections are closed");
     }
 }
 
-/// The attempt never ends, so the module has nothing to go by: the driver answers at the client's end.
+/// The attempt never ends, so only the driver's watchdog can end the request.
 #[test]
-fn a_request_that_the_module_leaves_open_fails_at_its_end() {
+fn a_request_that_the_balancer_leaves_open_fails_at_its_deadline() {
     let (node, transport) = node(SECOND);
     node.update_backends(ListScope::Full, vec![backend_entry("s", Stage::InService)]);
-    let waiting = node.submit(client_request(1_000_000));
+    let pending = node.submit(client_request(1_000_000));
     let attempt = transport.attempts.borrow_mut().pop().expect("an attempt");
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build().expect("a runtime");
     let response = runtime.block_on(async {
         tokio::select! {
-            response = waiting.response() => response,
+            response = pending.response() => response,
             () = node.run_timers() => unreachable!("timers run for ever"),
         }
     });
@@ -183,63 +187,63 @@
     assert!(!node.may_send(attempt.id));
 }
 
-/// A restarted backend is cold again, by the node's own clock, and what stood open to its last life is dead.
+/// A restarted backend is cold again, and connections to its previous process are dead.
 #[test]
-fn a_restart_under_the_same_name_is_told_and_drops_connections() {
+fn a_restart_under_the_same_name_updates_the_start_time_and_closes_connections() {
     let (node, transport) = node(SECOND);
     let boot_ms = node.clock().now() / 1_000_000 - 5;
-    let mut retired = Vec::new();
+    let mut close_idle = Vec::new();
     let mut driver = node.driver.borrow_mut();
-    let Driver { backends, words, clock, .. } = &mut *driver;
+    let Driver { backends, names, clock, .. } = &mut *driver;
     let now = clock.now();
-    let mut member = |listed| backends.member(listed, now, words, &mut retired).expect("a member");
+    let mut member = |entry| backends.member(entry, now, names, &mut close_idle).expect("a member");
     let first = member(backend_entry("s", Stage::InService));
-    let again = BackendEntry { boot_ms, ..backend_entry("s", Stage::InService) };
-    let second = member(again);
+    let restarted = BackendEntry { boot_ms, ..backend_entry("s", Stage::InService) };
+    let second = member(restarted);
     assert_eq!(first.online_since, None);
     assert_eq!(second.backend, first.backend);
-    assert_eq!(retired, [first.backend]);
+    assert_eq!(close_idle, [first.backend]);
     let age = clock.now() - second.online_since.expect("a start");
     assert!((4_000_000..60 * SECOND).contains(&age), "{age}");
     assert!(transport.attempts.borrow().is_empty());
 }
 
-/// What the module is told of a backend that is listed as started so long before now, or after it.
+/// The id and start time that the balancer gets for a backend listed with this boot time.
 fn online_since(node: &Node, uid: &str, boot_ms: u64) -> (BackendId, Nanos) {
     let mut driver = node.driver.borrow_mut();
-    let Driver { backends, words, clock, .. } = &mut *driver;
-    let again = BackendEntry { boot_ms, ..backend_entry(uid, Stage::InService) };
-    let member = backends.take(ListScope::Changes, vec![again], clock.now(), words).members.remove(0);
+    let Driver { backends, names, clock, .. } = &mut *driver;
+    let entry = BackendEntry { boot_ms, ..backend_entry(uid, Stage::InService) };
+    let member = backends.apply_list(ListScope::Changes, vec![entry], clock.now(), names).members.remove(0);
     (member.backend, member.online_since.expect("a start"))
 }
 
-/// A node whose clock was an hour ahead at its start took a server that had just come for warm, and one
-/// whose clock was behind took it for cold for an hour.
+/// Guards against clock skew: with its clock an hour ahead a node took a new backend for warm, an hour behind
+/// it kept one cold for an hour.
 #[test]
-fn a_new_life_is_dated_by_what_was_seen_here() {
+fn the_start_time_of_a_new_backend_is_bounded_by_when_it_was_listed() {
     let (node, _transport) = node(SECOND);
     node.update_backends(ListScope::Full, vec![backend_entry("s", Stage::InService)]);
     let (now, hour_ms) = (node.clock().now(), 3_600_000);
     let (_, ahead) = online_since(&node, "new", now / 1_000_000 - hour_ms);
-    assert!(ahead >= now - 7 * SECOND, "{} s old", (now - ahead) / SECOND);
+    assert!(ahead >= now - 7 * SECOND, "started {} s ago", (now - ahead) / SECOND);
     let (_, behind) = online_since(&node, "other", now / 1_000_000 + hour_ms);
-    assert!(behind <= node.clock().now(), "not yet started");
-    let (_, told_again) = online_since(&node, "other", now / 1_000_000 + hour_ms);
-    assert_eq!(told_again, behind, "the same life");
+    assert!(behind <= node.clock().now(), "started in the future");
+    let (_, listed_again) = online_since(&node, "other", now / 1_000_000 + hour_ms);
+    assert_eq!(listed_again, behind, "same process");
 }
 
-/// A first list tells of servers that started at any time.
+/// Backends on the first list may have started at any time.
 #[test]
-fn a_first_list_is_taken_at_its_word() {
+fn start_times_of_the_first_list_are_not_bounded() {
     let (node, _transport) = node(SECOND);
     let boot_ms = node.clock().now() / 1_000_000 - 15_000;
     let (_, since) = online_since(&node, "s", boot_ms);
     assert_eq!(since, boot_ms * 1_000_000);
 }
 
-/// Told as gone and as ready again, a cold server got every node's budget anew.
+/// With a new id a cold backend would get the slow-start budget of every node again.
 #[test]
-fn a_backend_that_comes_back_in_the_same_life_is_the_same_one() {
+fn a_backend_that_is_listed_again_without_a_restart_keeps_its_id() {
     let (node, _transport) = node(SECOND);
     let boot_ms = node.clock().now() / 1_000_000 - 500;
     let cold = || BackendEntry { boot_ms, ..backend_entry("s", Stage::InService) };
@@ -249,24 +253,24 @@
     node.update_backends(ListScope::Changes, vec![BackendEntry { stage: Stage::Gone, ..cold() }]);
     assert_eq!(id(&node), before);
     node.update_backends(ListScope::Changes, vec![BackendEntry { stage: Stage::Gone, ..cold() }]);
-    assert_ne!(online_since(&node, "s", boot_ms + 1).0, before, "another life");
+    assert_ne!(online_since(&node, "s", boot_ms + 1).0, before, "restarted");
 }
 
-/// Restarted nodes whose first call was turned away all called again in the same millisecond.
+/// Nodes that started together and whose first call failed all called again in the same millisecond.
 #[test]
-fn a_failed_call_is_not_made_again_on_a_wish_from_before() {
+fn a_failed_call_is_not_retried_for_a_request_made_before_it() {
     let (node, _transport) = node_with(SECOND, "on_request");
-    let wanted = |node: &Node| {
-        let mut wanted = std::pin::pin!(node.discovery_wanted());
-        wanted.as_mut().poll(&mut Context::from_waker(Waker::noop())).is_ready()
+    let requested = |node: &Node| {
+        let mut request = std::pin::pin!(node.discovery_requested());
+        request.as_mut().poll(&mut Context::from_waker(Waker::noop())).is_ready()
     };
     node.discovery_failed();
-    assert!(!wanted(&node), "called again at once");
-    // The module's next wish, after its wait, is heeded.
+    assert!(!requested(&node), "retried at once");
+    // The balancer's next request, after its backoff, triggers a call.
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build().expect("a runtime");
     runtime.block_on(async {
         tokio::select! {
-            () = node.discovery_wanted() => {}
+            () = node.discovery_requested() => {}
             () = node.run_timers() => unreachable!("timers run for ever"),
         }
     });
--- a/node/src/driver/timers.rs
+++ b/node/src/driver/timers.rs
@@ -1,49 +1,49 @@
-//! What comes due when, and for whom.
+//! Timer queue of the driver.
 
 use std::collections::BTreeSet;
 
 use brookfield::{Nanos, RequestId};
 
-/// Whom a timer wakes.
+/// What to do when a timer expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Due {
-    /// The module, with its token.
-    Module(u64),
-    /// The driver's guard on a request.
-    Backstop(RequestId),
+pub enum Timer {
+    /// Pass this token to the balancer.
+    Balancer(u64),
+    /// Fail the request if it still has no final response.
+    Watchdog(RequestId),
 }
 
-/// The timers, the earliest first. There is at most one for each open request, and the module's own.
+/// The pending timers, earliest first: at most one for each open request, and the balancer's.
 #[derive(Default)]
-pub struct Timers(BTreeSet<(Nanos, Due)>);
+pub struct TimerQueue(BTreeSet<(Nanos, Timer)>);
 
-impl Timers {
-    /// Sets a timer. Tells whether it comes before all others.
-    pub fn set(&mut self, at: Nanos, due: Due) -> bool {
+impl TimerQueue {
+    /// Sets a timer and returns whether it expires before all others.
+    pub fn set(&mut self, at: Nanos, timer: Timer) -> bool {
         let first = self.next().is_none_or(|next| at < next);
-        self.0.insert((at, due));
+        self.0.insert((at, timer));
         first
     }
 
-    /// Takes a timer back; nothing happens if it has come due.
-    pub fn clear(&mut self, at: Nanos, due: Due) {
-        self.0.remove(&(at, due));
+    /// Cancels a timer, if it has not expired yet.
+    pub fn clear(&mut self, at: Nanos, timer: Timer) {
+        self.0.remove(&(at, timer));
     }
 
-    /// When the next one comes due.
+    /// When the next timer expires.
     pub fn next(&self) -> Option<Nanos> {
         self.0.first().map(|(at, _)| *at)
     }
 
-    /// Takes the next one out if it is due by now.
-    pub fn pop(&mut self, now: Nanos) -> Option<Due> {
+    /// Removes and returns the next timer that has expired.
+    pub fn pop(&mut self, now: Nanos) -> Option<Timer> {
         self.0.first().filter(|(at, _)| *at <= now)?;
-        self.0.pop_first().map(|(_, due)| due)
+        self.0.pop_first().map(|(_, timer)| timer)
     }
 
-    /// All that are set, the earliest first.
+    /// All pending timers, earliest first.
     #[cfg(test)]
-    pub fn all(&self) -> impl Iterator<Item = Due> {
-        self.0.iter().map(|(_, due)| *due)
+    pub fn all(&self) -> impl Iterator<Item = Timer> {
+        self.0.iter().map(|(_, timer)| *timer)
     }
 }
--- a/node/src/driver/types.rs
+++ b/node/src/driver/types.rs
@@ -1,4 +1,4 @@
-//! What passes between the driver and the sockets. Plain data.
+//! Data types that the driver exchanges with the server, the transport and the discovery clients.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -9,32 +9,30 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// A client's request in the form in which it is passed on.
+/// The parts of a client's HTTP request that are forwarded to a backend.
 pub struct HttpRequest {
-    /// Its method.
     pub method: Method,
-    /// Its path and query.
+    /// Path and query.
     pub target: Uri,
-    /// The headers that go on unchanged.
+    /// End-to-end headers, without the hop-by-hop ones.
     pub headers: HeaderMap,
-    /// Its body.
     pub body: Bytes,
 }
 
-/// The final answer to a request.
+/// The response that the client of a request gets.
 #[derive(Debug)]
 pub enum FinalResponse {
-    /// Served, with a backend's answer.
+    /// The body of a backend's successful response.
     Served(Bytes),
-    /// Refused; the client should stay away for this long, if that is above 0.
+    /// Rejected; retrying is safe. Holds the `Retry-After` to send, 0 for none.
     Rejected(Nanos),
-    /// Failed.
+    /// Failed; the request may have run.
     Failed,
 }
 
 impl FinalResponse {
-    /// What it is, in one word, for the log.
-    pub(super) fn word(&self) -> &'static str {
+    /// Value of the log field `answer`.
+    pub(super) fn label(&self) -> &'static str {
         match self {
             Self::Served(_) => "served",
             Self::Rejected(_) => "refused",
@@ -43,7 +41,7 @@
     }
 }
 
-/// One attempt of one request.
+/// Identifies one attempt of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptId {
     pub(super) request: RequestId,
@@ -51,88 +49,82 @@
     pub(super) backend: BackendId,
 }
 
-/// An attempt to be made.
+/// An attempt that the transport has to make.
 pub struct Attempt {
-    /// Which one; goes back with its outcome.
+    /// Reported back with the result.
     pub id: AttemptId,
-    /// Whom to send to.
     pub backend: BackendId,
-    /// Where it listens.
+    /// The backend's address at the time of the decision.
     pub endpoint: SocketAddr,
-    /// What to send.
     pub http: Rc<HttpRequest>,
-    /// When to stop waiting.
-    pub give_up: Nanos,
+    /// When the attempt times out.
+    pub deadline: Nanos,
     /// When the client stops waiting.
-    pub not_after: Nanos,
-    /// When to be on its way at the latest.
+    pub client_deadline: Nanos,
+    /// Latest time to write the request; the attempt must not be sent after it.
     pub send_by: Nanos,
-    /// Resolves once the attempt has been withdrawn.
-    pub withdrawn: oneshot::Receiver<()>,
+    /// Resolves once the attempt has been cancelled.
+    pub cancelled: oneshot::Receiver<()>,
 }
 
 /// How an attempt ended.
 pub struct UpstreamResult {
-    /// What happened.
     pub outcome: Outcome,
-    /// The load report that came along.
+    /// The load report in the response's headers, if there was one.
     pub report: LoadReport,
-    /// The answer's body, of one that served.
+    /// The response's body; empty if none was received in full.
     pub body: Bytes,
 }
 
 impl UpstreamResult {
-    /// An end with nothing received.
+    /// A result without a response.
     pub fn new(outcome: Outcome) -> Self {
         Self { outcome, report: LoadReport::default(), body: Bytes::new() }
     }
 }
 
-/// One line of discovery's list.
+/// One backend as discovery or the registry lists it.
 pub struct BackendEntry {
-    /// The backend's name.
+    /// Name of the backend, unique in the list.
     pub uid: String,
-    /// Where it listens.
     pub endpoint: SocketAddr,
-    /// Its zone.
     pub zone: String,
-    /// Its machine kind.
+    /// Machine kind.
     pub kind: String,
-    /// Its cell.
     pub cell: u64,
-    /// What it may take.
+    /// Whether it is in service, draining or gone.
     pub stage: Stage,
-    /// Its size.
+    /// Capacity relative to other backends.
     pub weight: f64,
-    /// When it last started; 0 for long ago.
+    /// Unix time of its last start in milliseconds; 0 if unknown or long ago.
     pub boot_ms: u64,
 }
 
-/// What a client's request says of itself.
+/// A request received from a client.
 pub struct ClientRequest {
-    /// Its class.
+    /// Index of the request class.
     pub class: u32,
-    /// Its tenant.
+    /// Index of the tenant.
     pub tenant: Option<u32>,
-    /// Its work, where the client guesses it.
+    /// The client's estimate of the work, if it gave one.
     pub cost_hint: Option<Nanos>,
-    /// Marked as a repeat.
+    /// Whether the client marked the request as a retry.
     pub is_retry: bool,
-    /// How long the client waits.
+    /// How long the client waits for the response.
     pub budget: Nanos,
-    /// What is passed on.
+    /// What is forwarded to the backend.
     pub http: HttpRequest,
 }
 
-/// How the list stands that the fleet's registry tells.
+/// State of the backend list that is watched at the fleet's registry.
 #[derive(Clone, Copy, Debug)]
 pub struct ListState {
-    /// Its version.
+    /// Version of the list.
     pub rev: Option<u64>,
-    /// As of when it is known to be true; none if it never was.
+    /// When the list was last confirmed to be current; none if it never was.
     pub as_of: Option<Instant>,
-    /// Which replica is asked.
+    /// The replica in use.
     pub replica: SocketAddr,
-    /// Since when no replica has answered.
+    /// When the registry became unreachable; none while a replica answers.
     pub unreachable_since: Option<Instant>,
 }
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -57,7 +57,7 @@
     discovery: SocketAddr,
     seed: String,
     limits: Limits,
-    known: Option<discovery::List>,
+    known: Option<discovery::BackendList>,
     settings: serde_json::Value,
 }
 
@@ -148,9 +148,9 @@
     tracing::info!(target: STARTED, node = config.name, listen = %listener.local_addr()?, "listening");
     spawn_local(reconfigure(hangup, node.clone(), discovery, replicas));
     if registry.is_some() {
-        spawn_local(registry::Follow::new(node.clone(), replicas_are, seed, config.known).run());
+        spawn_local(registry::Watcher::new(node.clone(), replicas_are, seed, config.known).run());
     } else {
-        spawn_local(discovery::Watch::new(node.clone(), addresses, config.known).run());
+        spawn_local(discovery::Watcher::new(node.clone(), addresses, config.known).run());
     }
     let timers = node.clone();
     spawn_local(async move { timers.run_timers().await });
--- a/node/src/registry.rs
+++ b/node/src/registry.rs
@@ -1,5 +1,5 @@
-//! The list of backends from the fleet's own registry: one watch, on whichever replica answers. What is asked of which
-//! replica, and what an answer is worth, is decided in [`WatchClient`]; here are its sockets and its clock.
+//! Follows the backend list of the fleet's registry with long polls. [`WatchClient`] decides which replica to request for what
+//! and how to apply its response; this file has the sockets and the clock.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,138 +15,145 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep_until};
 
-use crate::discovery::{List, MAX_LIST, moved};
+use crate::discovery::{BackendList, MAX_LIST_BYTES, changed};
 use crate::driver::{ListState, Node};
 
-/// An answer this long after the wait was over does not come any more.
-const GRACE: Duration = Duration::from_secs(1);
-/// How often the log tells that the registry is still away.
-const TOLD_AGAIN: Duration = Duration::from_secs(10);
+/// A call times out this long after its hold time.
+const HOLD_MARGIN: Duration = Duration::from_secs(1);
+/// How often an ongoing outage of the registry is logged.
+const OUTAGE_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Why a call brought no list.
+/// Why a call returned no list.
 #[derive(Debug, thiserror::Error)]
-enum Trouble {
+enum FetchError {
     #[error("{0}")]
     Call(#[from] CallError),
-    #[error("answered {status}: {text}")]
-    Status { status: StatusCode, text: String, again: Option<Duration> },
-    #[error("not a list: {0}")]
-    Malformed(#[from] serde_json::Error),
+    #[error("HTTP status {status}: {body}")]
+    Status { status: StatusCode, body: String, retry_after: Option<Duration> },
+    #[error("invalid backend list: {0}")]
+    InvalidList(#[from] serde_json::Error),
 }
 
-/// Follows the registry.
-pub struct Follow {
+/// Follows the backend list of the registry.
+pub struct Watcher {
     node: Node,
-    /// Where the replicas are, which a fleet file that is read again may change.
+    /// Addresses of the replicas, which change when the fleet file is reloaded.
     addresses: watch::Receiver<Vec<SocketAddr>>,
-    links: Vec<HttpClient>,
-    follower: WatchClient,
-    luck: Xoshiro256PlusPlus,
-    began: Instant,
-    /// Since when no replica has answered, and when that was last told.
-    away: Option<(Duration, Duration)>,
+    clients: Vec<HttpClient>,
+    watch_client: WatchClient,
+    rng: Xoshiro256PlusPlus,
+    started_at: Instant,
+    /// While no replica answers: since when, and when this was last logged.
+    outage: Option<(Duration, Duration)>,
 }
 
-impl Follow {
-    /// A client of the replicas at these addresses, going on from `known`, which may be old.
+impl Watcher {
+    /// Creates a watcher that starts with the list `known`, which may be out of date.
     pub fn new(
         node: Node,
         addresses: watch::Receiver<Vec<SocketAddr>>,
         seed: u64,
-        known: Option<List>,
+        known: Option<BackendList>,
     ) -> Self {
         if let Some(list) = known {
-            node.update_backends(ListScope::Cached, list.listed());
+            node.update_backends(ListScope::Cached, list.into_entries());
         }
-        let mut luck = Xoshiro256PlusPlus::seed_from_u64(seed);
-        let links: Vec<HttpClient> = addresses.borrow().iter().map(|at| HttpClient::new(*at)).collect();
-        let follower = WatchClient::new(WatchPolicy::default(), links.len(), luck.random());
-        Self { node, addresses, links, follower, luck, began: Instant::now(), away: None }
+        let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
+        let clients: Vec<HttpClient> =
+            addresses.borrow().iter().map(|address| HttpClient::new(*address)).collect();
+        let watch_client = WatchClient::new(WatchPolicy::default(), clients.len(), rng.random());
+        Self { node, addresses, clients, watch_client, rng, started_at: Instant::now(), outage: None }
     }
 
-    /// Follows; never ends.
+    /// Follows the list; never returns.
     pub async fn run(mut self) {
-        let mut moves = self.addresses.clone();
-        self.note();
+        let mut address_changes = self.addresses.clone();
+        self.publish_state();
         loop {
-            if self.node.take_whole_list() {
-                self.follower.request_full_list();
+            if self.node.take_fetch_request() {
+                self.watch_client.request_full_list();
             }
-            let (at, ask) = self.follower.next_request(self.began.elapsed());
-            let called = async {
-                sleep_until(self.began + at).await;
-                let asked = self.began.elapsed();
-                (asked, call(&mut self.links[ask.replica], &ask).await)
+            let (at, request) = self.watch_client.next_request(self.started_at.elapsed());
+            let fetch = async {
+                sleep_until(self.started_at + at).await;
+                let sent_at = self.started_at.elapsed();
+                (sent_at, fetch_list(&mut self.clients[request.replica], &request).await)
             };
-            let (asked, answer) = tokio::select! {
+            let (sent_at, result) = tokio::select! {
                 biased;
-                () = moved(&mut moves) => {
-                    self.links = moves.borrow_and_update().iter().map(|at| HttpClient::new(*at)).collect();
-                    self.follower.set_replicas(self.links.len());
+                () = changed(&mut address_changes) => {
+                    self.clients =
+                        address_changes.borrow_and_update().iter().map(|address| HttpClient::new(*address)).collect();
+                    self.watch_client.set_replicas(self.clients.len());
                     continue;
                 }
-                called = called => called,
+                fetched = fetch => fetched,
             };
-            match answer {
-                Ok((head, list)) => self.take(asked, head, list),
-                Err(trouble) => self.missed(&trouble),
+            match result {
+                Ok((head, list)) => self.list_received(sent_at, head, list),
+                Err(error) => self.fetch_failed(&error),
             }
-            self.note();
+            self.publish_state();
         }
     }
 
-    fn note(&self) {
+    fn publish_state(&self) {
         self.node.set_list_state(ListState {
-            rev: self.follower.rev(),
-            as_of: self.follower.as_of().map(|as_of| self.began + as_of),
-            replica: self.links[self.follower.replica()].address(),
-            unreachable_since: self.away.map(|(since, _)| self.began + since),
+            rev: self.watch_client.rev(),
+            as_of: self.watch_client.as_of().map(|as_of| self.started_at + as_of),
+            replica: self.clients[self.watch_client.replica()].address(),
+            unreachable_since: self.outage.map(|(since, _)| self.started_at + since),
         });
     }
 
-    fn take(&mut self, asked: Duration, head: ListHeader, list: List) {
-        let now = self.began.elapsed();
-        let scope = match self.follower.on_response(asked, now, head) {
+    fn list_received(&mut self, sent_at: Duration, head: ListHeader, list: BackendList) {
+        let now = self.started_at.elapsed();
+        let scope = match self.watch_client.on_response(sent_at, now, head) {
             ListUpdate::Full => Some(ListScope::Full),
             ListUpdate::Changes => Some(ListScope::Changes),
             ListUpdate::Ignore => None,
         };
-        if let Some((since, _)) = self.away.take() {
+        if let Some((since, _)) = self.outage.take() {
             let away_ms = now.saturating_sub(since).as_millis() as u64;
-            tracing::info!(away_ms, rev = head.rev, "the registry answers again");
+            tracing::info!(away_ms, rev = head.rev, "registry reachable again");
         }
-        let lines = list.listed();
-        if let Some(scope) = scope.filter(|scope| *scope == ListScope::Full || !lines.is_empty()) {
-            self.node.update_backends(scope, lines);
+        let entries = list.into_entries();
+        if let Some(scope) = scope.filter(|scope| *scope == ListScope::Full || !entries.is_empty()) {
+            self.node.update_backends(scope, entries);
         }
     }
 
-    fn missed(&mut self, trouble: &Trouble) {
-        let now = self.began.elapsed();
-        tracing::debug!(replica = %self.links[self.follower.replica()].address(), cause = %trouble, "no list");
-        let again = if let Trouble::Status { again, .. } = trouble { *again } else { None };
-        self.follower.on_failure(now, again, self.luck.random());
-        if !self.follower.all_replicas_failed() {
+    fn fetch_failed(&mut self, error: &FetchError) {
+        let now = self.started_at.elapsed();
+        tracing::debug!(replica = %self.clients[self.watch_client.replica()].address(), cause = %error, "registry call failed");
+        let retry_after =
+            if let FetchError::Status { retry_after, .. } = error { *retry_after } else { None };
+        self.watch_client.on_failure(now, retry_after, self.rng.random());
+        if !self.watch_client.all_replicas_failed() {
             return;
         }
-        let age_ms = self.follower.age(now).map(|age| age.as_millis() as u64);
-        let (since, told) = *self.away.get_or_insert((now, Duration::ZERO));
-        if told == Duration::ZERO || now.saturating_sub(told) >= TOLD_AGAIN {
-            tracing::warn!(age_ms, cause = %trouble, "the registry is away; the list goes on being used");
-            self.away = Some((since, now));
+        let age_ms = self.watch_client.age(now).map(|age| age.as_millis() as u64);
+        let (since, logged_at) = *self.outage.get_or_insert((now, Duration::ZERO));
+        if logged_at == Duration::ZERO || now.saturating_sub(logged_at) >= OUTAGE_LOG_INTERVAL {
+            tracing::warn!(age_ms, cause = %error, "registry unreachable; keeping the last known list");
+            self.outage = Some((since, now));
         }
     }
 }
 
-async fn call(link: &mut HttpClient, ask: &WatchRequest) -> Result<(ListHeader, List), Trouble> {
-    let answer = link.call(&Call::get(ask.path_and_query(), ask.hold + GRACE, MAX_LIST)).await?;
-    if answer.status != StatusCode::OK {
-        let text = String::from_utf8_lossy(&answer.body[..answer.body.len().min(200)]).into_owned();
-        let again = answer.header(RETRY_AFTER.as_str()).and_then(|text| text.parse::<f64>().ok());
-        let again = again.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
-        return Err(Trouble::Status { status: answer.status, text, again });
+async fn fetch_list(
+    client: &mut HttpClient,
+    request: &WatchRequest,
+) -> Result<(ListHeader, BackendList), FetchError> {
+    let response =
+        client.call(&Call::get(request.path_and_query(), request.hold + HOLD_MARGIN, MAX_LIST_BYTES)).await?;
+    if response.status != StatusCode::OK {
+        let body = String::from_utf8_lossy(&response.body[..response.body.len().min(200)]).into_owned();
+        let retry_after = response.header(RETRY_AFTER.as_str()).and_then(|text| text.parse::<f64>().ok());
+        let retry_after = retry_after.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
+        return Err(FetchError::Status { status: response.status, body, retry_after });
     }
-    let list: List = serde_json::from_slice(&answer.body)?;
-    let age = answer.list_age();
-    Ok((ListHeader { incarnation: list.incarnation(), rev: list.rev(), full: list.is_whole(), age }, list))
+    let list: BackendList = serde_json::from_slice(&response.body)?;
+    let age = response.list_age();
+    Ok((ListHeader { incarnation: list.incarnation(), rev: list.rev(), full: list.is_full(), age }, list))
 }
--- a/node/src/upstream.rs
+++ b/node/src/upstream.rs
@@ -167,13 +167,13 @@
 
     async fn end_of(&self, node: &Node, mut attempt: Attempt) -> UpstreamResult {
         let (written, connecting) = (Cell::new(false), Cell::new(None));
-        let withdrawn = std::mem::replace(&mut attempt.withdrawn, tokio::sync::oneshot::channel().1);
+        let withdrawn = std::mem::replace(&mut attempt.cancelled, tokio::sync::oneshot::channel().1);
         // Never written, it never ran: a refusal is still open to the module then.
         let unless_written = |outcome| if written.get() { outcome } else { Outcome::Moot };
         let over = async {
-            sleep_until(self.clock.instant(attempt.give_up.min(attempt.send_by))).await;
+            sleep_until(self.clock.instant(attempt.deadline.min(attempt.send_by))).await;
             if written.get() {
-                sleep_until(self.clock.instant(attempt.give_up)).await;
+                sleep_until(self.clock.instant(attempt.deadline)).await;
             }
         };
         tokio::select! {
@@ -265,7 +265,7 @@
 
     fn message(&self, attempt: &Attempt) -> Option<Request<Full<Bytes>>> {
         let http = &attempt.http;
-        let left = attempt.give_up.min(attempt.not_after).saturating_sub(self.clock.now()) / 1_000_000;
+        let left = attempt.deadline.min(attempt.client_deadline).saturating_sub(self.clock.now()) / 1_000_000;
         let mut message = Request::new(Full::new(http.body.clone()));
         *message.method_mut() = http.method.clone();
         *message.uri_mut() = http.target.clone();
--- a/node/src/upstream/tests.rs
+++ b/node/src/upstream/tests.rs
@@ -41,7 +41,7 @@
     let (listener, _queue) = silent().await;
     let endpoint = listener.local_addr().expect("its address");
     let (node, mut attempt, _held) = node_with_attempt(endpoint);
-    attempt.give_up = node.clock().now() + SECOND / 4;
+    attempt.deadline = node.clock().now() + SECOND / 4;
     let settings = ConnectionSettings { idle_timeout: SECOND, connect_timeout: SECOND };
     let upstream = Upstream::new(settings, node.clock(), 8);
     let result = upstream.pool().end_of(&node, attempt).await;
@@ -60,7 +60,7 @@
     let waiting = node.submit(client_request(60 * SECOND));
     let mut attempt = transport.attempts.borrow_mut().pop().expect("an attempt");
     let (withdraw, withdrawn) = tokio::sync::oneshot::channel();
-    attempt.withdrawn = withdrawn;
+    attempt.cancelled = withdrawn;
     (node, attempt, (waiting, withdraw))
 }
 
