--- a/node/src/discovery/poller.rs
+++ b/node/src/discovery/poller.rs
@@ -82,7 +82,7 @@
     failures: u32,
     /// Whether a poll has failed since a long poll was last answered.
     failed_since_long_poll: bool,
-    /// Whether the last response was to a poll without a hold time, and so tells the current list.
+    /// Whether the last response was to a poll without a hold time, and so has the current list.
     is_current: bool,
 }
 
--- a/node/src/driver/backends.rs
+++ b/node/src/driver/backends.rs
@@ -31,7 +31,7 @@
     pub members: Vec<Member>,
     /// Backends whose idle connections must be closed.
     pub close_idle: Vec<BackendId>,
-    /// Names of the backends to remove once the balancer has been told.
+    /// Names of the backends to remove once the balancer has been notified.
     pub removed: Vec<String>,
 }
 
@@ -56,7 +56,7 @@
 
 impl Backends {
     /// Applies a list. The caller passes [`ListChange::removed`] to [`Backends::remove`] once the balancer
-    /// has been told.
+    /// has been notified.
     pub fn apply_list(
         &mut self,
         scope: ListScope,
--- a/node/src/log.rs
+++ b/node/src/log.rs
@@ -1,8 +1,9 @@
-//! The node's log: lines on standard error, as fields that a program can read as well as a person.
+//! Structured logging to standard error.
 //!
-//! `EDGE_LOG` filters (`info`, or `warn,badgerpost::discovery=debug`; at `debug` each request and attempt has its
-//! lines), `EDGE_LOG_FORMAT=json` writes a JSON object a line. Lines from `info` on are bounded for each place in
-//! the code, so that a failing fleet fills no disk; what was left out is counted in a line of its own.
+//! `EDGE_LOG` sets the filter, such as `info` or `warn,badgerpost::discovery=debug`; at `debug` each request
+//! and attempt is logged. `EDGE_LOG_FORMAT=json` writes one JSON object per line. Events at `info` and above
+//! are rate-limited by callsite, so that a failing fleet does not fill the disk; the number of suppressed
+//! events is logged.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -18,82 +19,83 @@
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::{Layer, fmt};
 
-const FILTER: &str = "EDGE_LOG";
-const FORMAT: &str = "EDGE_LOG_FORMAT";
-/// Lines that one place in the code may write in a [`SPAN`]: enough to see who is concerned.
-const BURST: u32 = 10;
-const SPAN: Duration = Duration::from_secs(1);
+const FILTER_VARIABLE: &str = "EDGE_LOG";
+const FORMAT_VARIABLE: &str = "EDGE_LOG_FORMAT";
+/// Events that each callsite may log in a [`WINDOW`].
+const MAX_EVENTS_PER_WINDOW: u32 = 10;
+const WINDOW: Duration = Duration::from_secs(1);
 
-/// One place's lines of late.
+/// Rate-limit window of one callsite.
 #[derive(Default)]
 struct Window {
-    since: Duration,
-    written: u32,
-    left_out: u64,
+    started_at: Duration,
+    admitted: u32,
+    suppressed: u64,
 }
 
 impl Window {
-    /// Whether a line may be written now; one that may not is counted.
+    /// Whether an event may be logged now. Counts it as admitted or suppressed.
     fn admit(&mut self, now: Duration) -> bool {
-        if now.saturating_sub(self.since) >= SPAN {
-            (self.since, self.written) = (now, 0);
+        if now.saturating_sub(self.started_at) >= WINDOW {
+            (self.started_at, self.admitted) = (now, 0);
         }
-        let fits = self.written < BURST;
-        if fits {
-            self.written += 1;
+        let admitted = self.admitted < MAX_EVENTS_PER_WINDOW;
+        if admitted {
+            self.admitted += 1;
         } else {
-            self.left_out += 1;
+            self.suppressed += 1;
         }
-        fits
+        admitted
     }
 }
 
-/// Bounds the lines of each place in the code, which are as many as the program has of them.
-pub struct Bound {
-    began: Instant,
+/// Limits the rate of events of each callsite. Its size is bounded by the number of callsites in the program.
+pub struct RateLimiter {
+    started_at: Instant,
     windows: Mutex<HashMap<Identifier, (&'static Metadata<'static>, Window)>>,
-    left_out: Notify,
+    suppressed: Notify,
 }
 
-impl Bound {
+impl RateLimiter {
     fn new() -> Self {
-        Self { began: Instant::now(), windows: Mutex::default(), left_out: Notify::new() }
+        Self { started_at: Instant::now(), windows: Mutex::default(), suppressed: Notify::new() }
     }
 
     fn admit(&self, meta: &'static Metadata<'static>) -> bool {
-        let now = self.began.elapsed();
+        let now = self.started_at.elapsed();
         let mut windows = self.windows.lock().unwrap_or_else(PoisonError::into_inner);
         let window = &mut windows.entry(meta.callsite()).or_insert_with(|| (meta, Window::default())).1;
-        let fits = window.admit(now);
-        if !fits && window.left_out == 1 {
-            self.left_out.notify_one();
+        let admitted = window.admit(now);
+        if !admitted && window.suppressed == 1 {
+            self.suppressed.notify_one();
         }
-        fits
+        admitted
     }
 
-    fn take_left_out(&self) -> Vec<(&'static Metadata<'static>, u64)> {
+    fn take_suppressed(&self) -> Vec<(&'static Metadata<'static>, u64)> {
         let mut windows = self.windows.lock().unwrap_or_else(PoisonError::into_inner);
-        let counts = windows.values_mut().map(|(meta, window)| (*meta, std::mem::take(&mut window.left_out)));
+        let counts =
+            windows.values_mut().map(|(meta, window)| (*meta, std::mem::take(&mut window.suppressed)));
         counts.filter(|(_, count)| *count > 0).collect()
     }
 
-    /// Tells how many lines were left out, where any were; never ends. While none are it does not wake.
+    /// Logs how many events were suppressed; never returns. Does not wake while there are none.
     pub async fn report(self: Arc<Self>) {
         loop {
-            self.left_out.notified().await;
-            sleep(SPAN).await;
-            for (meta, count) in self.take_left_out() {
+            self.suppressed.notified().await;
+            sleep(WINDOW).await;
+            for (meta, count) in self.take_suppressed() {
                 let (module, line) = (meta.module_path().unwrap_or("-"), meta.line().unwrap_or(0));
-                tracing::warn!(module, line, count, "repeated lines left out");
+                tracing::warn!(module, line, count, "repeated log lines suppressed");
             }
         }
     }
 }
 
-/// [`Bound`] as a filter: from `info` on; what is finer was asked for whole.
-struct Bounded(Arc<Bound>);
+/// Filter that applies a [`RateLimiter`] to events at `info` and above. `debug` and `trace` are not limited.
+struct RateLimitFilter(Arc<RateLimiter>);
 
-impl<S> Filter<S> for Bounded {
+impl<S> Filter<S> for RateLimitFilter {
     fn enabled(&self, _: &Metadata<'_>, _: &Context<'_, S>) -> bool {
         true
     }
@@ -103,28 +105,35 @@
     }
 }
 
-/// Starts the log as the environment says. A filter that can't be read is told, and `info` taken.
-pub fn start() -> Arc<Bound> {
-    let wanted = std::env::var(FILTER).unwrap_or_default();
-    let read =
-        if wanted.is_empty() { Ok(Targets::new().with_default(LevelFilter::INFO)) } else { wanted.parse() };
-    let (targets, problem) = match read {
+/// Sets up logging from the environment. Falls back to `info`, with a warning, if the filter is invalid.
+pub fn init() -> Arc<RateLimiter> {
+    let filter_text = std::env::var(FILTER_VARIABLE).unwrap_or_default();
+    let parsed = if filter_text.is_empty() {
+        Ok(Targets::new().with_default(LevelFilter::INFO))
+    } else {
+        filter_text.parse()
+    };
+    let (targets, error) = match parsed {
         Ok(targets) => (targets, None),
         Err(error) => (Targets::new().with_default(LevelFilter::INFO), Some(error)),
     };
-    let bound = Arc::new(Bound::new());
-    let lines = fmt::layer().with_writer(std::io::stderr).with_ansi(false);
-    let format = std::env::var(FORMAT).unwrap_or_default();
-    let lines = if format == "json" { lines.json().flatten_event(true).boxed() } else { lines.boxed() };
-    let filter = targets.and(Bounded(bound.clone()));
-    tracing_subscriber::registry().with(lines.with_filter(filter)).init();
-    if let Some(error) = problem {
-        tracing::warn!(variable = FILTER, value = wanted, cause = %error, "the filter can't be read");
+    let limiter = Arc::new(RateLimiter::new());
+    let layer = fmt::layer().with_writer(std::io::stderr).with_ansi(false);
+    let format = std::env::var(FORMAT_VARIABLE).unwrap_or_default();
+    let layer = if format == "json" { layer.json().flatten_event(true).boxed() } else { layer.boxed() };
+    let filter = targets.and(RateLimitFilter(limiter.clone()));
+    tracing_subscriber::registry().with(layer.with_filter(filter)).init();
+    if let Some(error) = error {
+        tracing::warn!(variable = FILTER_VARIABLE, value = filter_text, cause = %error, "invalid log filter; using info");
     }
     if !matches!(format.as_str(), "" | "text" | "json") {
-        tracing::warn!(variable = FORMAT, value = format, "neither text nor json");
+        tracing::warn!(
+            variable = FORMAT_VARIABLE,
+            value = format,
+            "unknown log format, expected text or json; using text"
+        );
     }
-    bound
+    limiter
 }
 
 #[cfg(test)]
--- a/node/src/os_error.rs
+++ b/node/src/os_error.rs
@@ -1,28 +1,26 @@
-//! Whose fault an error of a system call is: this machine's, the path's or the peer's. What is judged by an error
-//! asks here, so that a shortage of our own is not held against a peer.
+//! Classifies errors of socket system calls, so that a lack of local resources does not count against a peer.
 
 use std::io::Error;
 
 use rustix::io::Errno;
 
-/// Whether this machine ran short of descriptors, buffers or memory: the same call fails again at once, whoever the
-/// peer is.
-pub fn is_shortage(error: &Error) -> bool {
+/// Whether this machine is out of descriptors, buffers or memory, so that the same call would fail again at
+/// once for any peer.
+pub fn is_resource_exhaustion(error: &Error) -> bool {
     matches!(Errno::from_io_error(error), Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM))
 }
 
-/// Whether a connect failed before anything was sent to its peer, for want of something of this machine's own:
-/// beside a shortage, no free local port (`connect(2)`: `EADDRNOTAVAIL`, `EAGAIN`) or no leave to send (`EPERM`,
-/// `EACCES`).
+/// Whether a connect failed on this machine, before anything was sent to the peer: for lack of resources, of
+/// a free local port (`EADDRNOTAVAIL`, `EAGAIN`) or of permission (`EPERM`, `EACCES`), see `connect(2)`.
 pub fn is_local(error: &Error) -> bool {
-    let own = [Errno::ADDRNOTAVAIL, Errno::AGAIN, Errno::PERM, Errno::ACCESS];
-    is_shortage(error) || Errno::from_io_error(error).is_some_and(|errno| own.contains(&errno))
+    let local = [Errno::ADDRNOTAVAIL, Errno::AGAIN, Errno::PERM, Errno::ACCESS];
+    is_resource_exhaustion(error) || Errno::from_io_error(error).is_some_and(|errno| local.contains(&errno))
 }
 
-/// Whether an accept failed for the one connection that it took from the queue, which `accept(2)` says to pass over:
-/// others wait behind it.
+/// Whether an accept failed because of the one connection it took from the queue, see `accept(2)`. The next
+/// accept may succeed at once.
 pub fn is_per_connection(error: &Error) -> bool {
-    let one = [
+    let per_connection = [
         Errno::CONNABORTED,
         Errno::INTR,
         Errno::NETDOWN,
@@ -36,7 +34,7 @@
         Errno::PERM,
         Errno::TIMEDOUT,
     ];
-    Errno::from_io_error(error).is_some_and(|errno| one.contains(&errno))
+    Errno::from_io_error(error).is_some_and(|errno| per_connection.contains(&errno))
 }
 
 #[cfg(test)]
--- a/node/src/os_error/tests.rs
+++ b/node/src/os_error/tests.rs
@@ -4,28 +4,29 @@
     errno.into()
 }
 
-/// Every error of a connect counted as the backend's: a node out of ports ejected healthy ones, all at once.
+/// Guards against ejecting healthy backends when the node itself is out of ports or descriptors.
 #[test]
-fn a_want_of_our_own_is_not_the_peers() {
-    for own in [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::ADDRNOTAVAIL, Errno::AGAIN] {
-        assert!(is_local(&error(own)), "{own:?}");
+fn a_lack_of_local_resources_is_not_the_peers_fault() {
+    for local in [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::ADDRNOTAVAIL, Errno::AGAIN]
+    {
+        assert!(is_local(&error(local)), "{local:?}");
     }
-    for peers in
+    for remote in
         [Errno::CONNREFUSED, Errno::TIMEDOUT, Errno::HOSTUNREACH, Errno::NETUNREACH, Errno::CONNRESET]
     {
-        assert!(!is_local(&error(peers)), "{peers:?}");
+        assert!(!is_local(&error(remote)), "{remote:?}");
     }
 }
 
-/// After any failed accept the node waited 20 ms, with others in the queue behind a connection that had ended.
+/// Guards against delaying queued connections after an accept failed for a single connection.
 #[test]
-fn an_accept_waits_for_a_shortage_and_not_for_one_connection() {
-    for one in [Errno::CONNABORTED, Errno::INTR, Errno::PROTO, Errno::PERM, Errno::HOSTUNREACH] {
-        assert!(is_per_connection(&error(one)) && !is_shortage(&error(one)), "{one:?}");
+fn per_connection_accept_errors_are_told_apart_from_resource_exhaustion() {
+    for errno in [Errno::CONNABORTED, Errno::INTR, Errno::PROTO, Errno::PERM, Errno::HOSTUNREACH] {
+        assert!(is_per_connection(&error(errno)) && !is_resource_exhaustion(&error(errno)), "{errno:?}");
     }
-    for short in [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM] {
-        assert!(!is_per_connection(&error(short)), "{short:?}");
+    for errno in [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM] {
+        assert!(!is_per_connection(&error(errno)), "{errno:?}");
     }
-    // Of a listener that is no good the next accept would fail at once, for ever.
+    // With an unusable listener every further accept would fail at once.
     assert!(!is_per_connection(&error(Errno::BADF)) && !is_per_connection(&error(Errno::INVAL)));
 }
--- a/node/src/registry.rs
+++ b/node/src/registry.rs
@@ -1,5 +1,5 @@
-//! Follows the backend list of the fleet's registry with long polls. [`WatchClient`] decides which replica to request for what
-//! and how to apply its response; this file has the sockets and the clock.
+//! Follows the backend list of the fleet's registry with long polls. [`WatchClient`] decides which replica to
+//! request for what and how to apply its response; this file has the sockets and the clock.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/node/src/tests.rs
+++ b/node/src/tests.rs
@@ -1,16 +1,16 @@
 use super::*;
 
 #[test]
-fn no_descriptor_is_promised_twice() {
+fn descriptors_are_not_assigned_twice() {
     for sockets in 32..=2048 {
-        let (clients, backends) = shares(sockets).expect("enough");
-        assert!(clients + backends + OWN <= sockets, "{sockets}: {clients} and {backends}");
+        let (clients, backends) = split_descriptors(sockets).expect("enough descriptors");
+        assert!(clients + backends + RESERVED_DESCRIPTORS <= sockets, "{sockets}: {clients} and {backends}");
         assert!(clients > 0 && backends > 0, "{sockets}: {clients} and {backends}");
         if sockets >= 256 {
-            // Requests on a third of the descriptors leave room for as many peers that ask nothing.
+            // With requests on a third of the descriptors there is room for as many idle client connections.
             assert!(clients >= sockets / 2 + sockets / 16, "{sockets}: {clients}");
             assert!(backends > sockets / 3, "{sockets}: {backends}");
         }
     }
-    assert!(shares(31).is_err());
+    assert!(split_descriptors(31).is_err());
 }
--- a/node/src/upstream.rs
+++ b/node/src/upstream.rs
@@ -1,5 +1,5 @@
-//! The backends' side: a bounded pool of connections, and single attempts over them. What happened to an
-//! attempt becomes an [`Outcome`]; whether there is another is not decided here, and nothing is sent twice.
+//! The upstream side: a bounded pool of connections to the backends, and single attempts over them. Each
+//! attempt ends with an [`Outcome`]; retries are the balancer's decision, and no request is sent twice here.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -24,53 +24,52 @@
 use crate::driver::{Attempt, Clock, Node, Transport, UpstreamResult};
 use crate::os_error::is_local;
 
-/// No body is larger, either way.
+/// Maximum size of a request's and of a response's body.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// An idle connection is kept for this part of the backends' limit: one that is written to as its backend
-/// closes it ends as a reset, and what was sent on it may have run.
-const IDLE_PART: u64 = 2;
-/// So long after its last answer a connection is not used again: backends send some answers twice, the second one some
-/// milliseconds late, which would be taken for the answer to the next request.
-const SETTLE: Duration = Duration::from_millis(10);
-/// A connection that is not up after this part of the limit says something of the backend.
-const SILENT_PART: u64 = 4;
-/// How often idle connections are looked through.
-const SWEEP: Duration = Duration::from_secs(1);
-
-type Link = SendRequest<Full<Bytes>>;
-type Place = (BackendId, SocketAddr);
-
-struct Idle {
-    link: Link,
+/// Idle connections are closed after the backends' idle timeout divided by this. A request that is written
+/// while its backend closes the connection ends as a reset, and may have run.
+const IDLE_TIMEOUT_DIVISOR: u64 = 2;
+/// How long a connection is not reused after a response. Backends send some responses twice, the second a few
+/// milliseconds late, and it would be taken for the response to the next request.
+const REUSE_DELAY: Duration = Duration::from_millis(10);
+/// A connect that was given up after at least the connect timeout divided by this counts as a failed connect.
+const CONNECT_FAILURE_DIVISOR: u64 = 4;
+const IDLE_SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+
+type Connection = SendRequest<Full<Bytes>>;
+type PoolKey = (BackendId, SocketAddr);
+
+struct IdleConnection {
+    connection: Connection,
     since: Nanos,
 }
 
-impl Idle {
-    /// From when it may be used again.
-    fn settled(&self) -> Nanos {
-        self.since.saturating_add(SETTLE.as_nanos() as Nanos)
+impl IdleConnection {
+    /// When it may be reused.
+    fn reusable_at(&self) -> Nanos {
+        self.since.saturating_add(REUSE_DELAY.as_nanos() as Nanos)
     }
 }
 
 /// What the pool has for a request.
-enum Taken {
-    Link(Link),
-    /// The first one can be used from then on.
-    Settles(Nanos),
+enum Checkout {
+    Connection(Connection),
+    /// All idle connections were used too lately; the first is reusable at this time.
+    ReusableAt(Nanos),
 }
 
-/// Why no connection to a backend came about.
+/// Why no connection to a backend was established.
 #[derive(Debug, thiserror::Error)]
 enum ConnectError {
-    /// Nobody was asked: that says nothing of the backend.
-    #[error("this machine can't open one (see its limits of descriptors, ports and buffers): {0}")]
+    /// Failed before anything was sent to the backend, so it does not count against the backend.
+    #[error("out of local resources (check the limits of descriptors, ports and socket buffers): {0}")]
     Local(std::io::Error),
     #[error("refused or unreachable: {0}")]
     Peer(std::io::Error),
-    #[error("not up in time")]
-    Silent,
-    #[error("broken at once: {0}")]
-    Broken(#[from] hyper::Error),
+    #[error("connect timed out")]
+    Timeout,
+    #[error("HTTP handshake failed: {0}")]
+    Handshake(#[from] hyper::Error),
 }
 
 impl From<std::io::Error> for ConnectError {
@@ -80,70 +79,68 @@
 }
 
 impl ConnectError {
-    /// What it means to the request: nothing was written either way.
+    /// Outcome of the attempt; nothing has been written in either case.
     fn outcome(&self) -> Outcome {
         match self {
             Self::Local(_) => Outcome::Moot,
-            Self::Peer(_) | Self::Silent | Self::Broken(_) => Outcome::ConnectFailed,
+            Self::Peer(_) | Self::Timeout | Self::Handshake(_) => Outcome::ConnectFailed,
         }
     }
 }
 
-/// Connections to the backends.
-pub struct Pool {
-    idle: RefCell<HashMap<Place, Vec<Idle>>>,
-    /// Open connections, idle or not.
+/// Pool of connections to the backends.
+pub struct ConnectionPool {
+    idle: RefCell<HashMap<PoolKey, Vec<IdleConnection>>>,
+    /// Number of open connections, idle or in use.
     open: Rc<Cell<usize>>,
-    most: usize,
+    max_open: usize,
     settings: ConnectionSettings,
     clock: Clock,
 }
 
-/// Counts an open connection for as long as its task lives.
-struct Counted(Rc<Cell<usize>>);
+/// Counts a connection as open until it is dropped.
+struct OpenSlot(Rc<Cell<usize>>);
 
-impl Counted {
+impl OpenSlot {
     fn new(open: &Rc<Cell<usize>>) -> Self {
         open.set(open.get() + 1);
         Self(open.clone())
     }
 }
 
-impl Drop for Counted {
+impl Drop for OpenSlot {
     fn drop(&mut self) {
         self.0.set(self.0.get().saturating_sub(1));
     }
 }
 
-/// Starts attempts over a pool.
-pub struct Upstream(Rc<Pool>);
+/// The transport that makes attempts over pooled connections.
+pub struct Upstream(Rc<ConnectionPool>);
 
 impl Upstream {
-    /// At most `most` connections are open together.
-    pub fn new(settings: ConnectionSettings, clock: Clock, most: usize) -> Self {
+    /// Creates a transport with at most `max_open` open connections.
+    pub fn new(settings: ConnectionSettings, clock: Clock, max_open: usize) -> Self {
         let (idle, open) = (RefCell::default(), Rc::default());
-        Self(Rc::new(Pool { idle, open, most, settings, clock }))
+        Self(Rc::new(ConnectionPool { idle, open, max_open, settings, clock }))
     }
 
-    /// Closes what has been idle for too long; never ends.
-    pub async fn sweep(pool: Rc<Pool>) {
+    /// Closes connections that have been idle for too long; never returns.
+    pub async fn sweep(pool: Rc<ConnectionPool>) {
         loop {
-            sleep(SWEEP).await;
-            pool.drop_stale();
+            sleep(IDLE_SWEEP_INTERVAL).await;
+            pool.close_expired();
         }
     }
 
-    /// The pool.
-    pub fn pool(&self) -> Rc<Pool> {
+    pub fn pool(&self) -> Rc<ConnectionPool> {
         self.0.clone()
     }
 }
 
-/// Has small writes go out at once. A connection that does not take the option still carries requests, if later:
-/// that is no reason to lose them.
+/// Sets `TCP_NODELAY`. A failure is only logged, as the connection still works, with more latency.
 pub fn set_nodelay(stream: &TcpStream) {
     if let Err(error) = stream.set_nodelay(true) {
-        tracing::debug!(cause = %error, "small writes may be held back");
+        tracing::debug!(cause = %error, "TCP_NODELAY not set");
     }
 }
 
@@ -154,23 +151,23 @@
     }
 
     fn close_idle(&self, backend: BackendId) {
-        self.0.idle.borrow_mut().retain(|place, _| place.0 != backend);
+        self.0.idle.borrow_mut().retain(|key, _| key.0 != backend);
     }
 }
 
-impl Pool {
+impl ConnectionPool {
     async fn run(&self, node: Node, attempt: Attempt) {
         let id = attempt.id;
-        let result = self.end_of(&node, attempt).await;
+        let result = self.run_to_end(&node, attempt).await;
         node.attempt_ended(id, result);
     }
 
-    async fn end_of(&self, node: &Node, mut attempt: Attempt) -> UpstreamResult {
+    async fn run_to_end(&self, node: &Node, mut attempt: Attempt) -> UpstreamResult {
         let (written, connecting) = (Cell::new(false), Cell::new(None));
-        let withdrawn = std::mem::replace(&mut attempt.cancelled, tokio::sync::oneshot::channel().1);
-        // Never written, it never ran: a refusal is still open to the module then.
+        let cancelled = std::mem::replace(&mut attempt.cancelled, tokio::sync::oneshot::channel().1);
+        // An attempt that was never written cannot have run, and the balancer may still reject the request.
         let unless_written = |outcome| if written.get() { outcome } else { Outcome::Moot };
-        let over = async {
+        let timed_out = async {
             sleep_until(self.clock.instant(attempt.deadline.min(attempt.send_by))).await;
             if written.get() {
                 sleep_until(self.clock.instant(attempt.deadline)).await;
@@ -178,22 +175,23 @@
         };
         tokio::select! {
             biased;
-            _ = withdrawn => UpstreamResult::new(unless_written(Outcome::Cancelled)),
+            _ = cancelled => UpstreamResult::new(unless_written(Outcome::Cancelled)),
             result = self.exchange(node, &attempt, &written, &connecting) => result,
-            () = over => UpstreamResult::new(match connecting.get() {
-                Some(since) if self.is_silent(since) => Outcome::ConnectFailed,
+            () = timed_out => UpstreamResult::new(match connecting.get() {
+                Some(since) if self.counts_as_failed(since) => Outcome::ConnectFailed,
                 _ => unless_written(Outcome::TimedOut),
             }),
         }
     }
 
-    /// Whether a connection begun then should long be up. Requests are often given up sooner than connections:
-    /// nobody would ever learn of a machine that says nothing.
-    fn is_silent(&self, since: Nanos) -> bool {
-        self.clock.now().saturating_sub(since) >= self.settings.connect_timeout / SILENT_PART
+    /// Whether a connect that began at `since` has taken long enough to count as failed. Requests often time
+    /// out before the connect does, and an unreachable backend would never be detected.
+    fn counts_as_failed(&self, since: Nanos) -> bool {
+        self.clock.now().saturating_sub(since) >= self.settings.connect_timeout / CONNECT_FAILURE_DIVISOR
     }
 
-    /// Tells by `written` whether the request has been, and by `connecting` since when a connection is coming up.
+    /// Makes one attempt. Sets `written` once the request may have been written, and `connecting` to the
+    /// start of a connect while it is in progress.
     async fn exchange(
         &self,
         node: &Node,
@@ -201,57 +199,57 @@
         written: &Cell<bool>,
         connecting: &Cell<Option<Nanos>>,
     ) -> UpstreamResult {
-        let place = (attempt.backend, attempt.endpoint);
+        let key = (attempt.backend, attempt.endpoint);
         loop {
-            let (mut link, fresh) = match self.take(place) {
-                Some(Taken::Link(link)) => (link, false),
-                // Cheaper than a new connection, and as a rule no longer in coming.
-                Some(Taken::Settles(at)) => {
+            let (mut connection, fresh) = match self.checkout(key) {
+                Some(Checkout::Connection(connection)) => (connection, false),
+                // Waiting costs less than a new connection, and usually no more time.
+                Some(Checkout::ReusableAt(at)) => {
                     sleep_until(self.clock.instant(at)).await;
-                    // Others wait for it as well.
+                    // Another attempt may take the connection first, so check again each time.
                     if !node.may_send(attempt.id) {
                         return UpstreamResult::new(Outcome::Moot);
                     }
                     continue;
                 }
-                // Short of descriptors nobody was asked: that says nothing against the backend.
-                None => match self.slot() {
+                // The lack of a slot does not count against the backend.
+                None => match self.reserve_slot() {
                     None => return UpstreamResult::new(Outcome::Moot),
                     Some(slot) => {
                         connecting.set(Some(self.clock.now()));
-                        let link = self.connect(attempt.endpoint, slot).await;
+                        let connection = self.connect(attempt.endpoint, slot).await;
                         connecting.set(None);
-                        match link {
-                            Ok(link) => (link, true),
+                        match connection {
+                            Ok(connection) => (connection, true),
                             Err(error) => {
                                 let backend = attempt.endpoint;
-                                tracing::debug!(%backend, cause = %error, "no connection to a backend");
+                                tracing::debug!(%backend, cause = %error, "connecting to a backend failed");
                                 return UpstreamResult::new(error.outcome());
                             }
                         }
                     }
                 },
             };
-            // What has come meanwhile is heard first: that the client has gone, that the backend has closed this
-            // connection or sent something more on it.
+            // Lets pending I/O be processed first: the client may have disconnected, or the backend may have
+            // closed the connection or sent more data on it.
             yield_now().await;
-            // A pooled connection found dead before anything was written to it costs nothing: the next one.
-            if link.ready().await.is_err() {
+            // Nothing was written to a pooled connection that turns out closed, so the next one is tried.
+            if connection.ready().await.is_err() {
                 if fresh {
                     return UpstreamResult::new(Outcome::ConnectFailed);
                 }
                 continue;
             }
-            // The connect may have outlasted the request, or the backend's place on the list.
+            // The request may have ended or the backend may have been removed during the connect.
             if !node.may_send(attempt.id) || self.clock.now() >= attempt.send_by {
-                self.keep(node, place, link);
+                self.checkin(node, key, connection);
                 return UpstreamResult::new(Outcome::Moot);
             }
-            let Some(message) = self.message(attempt) else { return UpstreamResult::new(Outcome::Moot) };
+            let Some(request) = self.request_for(attempt) else { return UpstreamResult::new(Outcome::Moot) };
             written.set(true);
-            match link.try_send_request(message).await {
-                Ok(response) => return self.read(node, place, link, response).await,
-                // The message comes back only if not a byte of it was written.
+            match connection.try_send_request(request).await {
+                Ok(response) => return self.read_response(node, key, connection, response).await,
+                // The request is returned only if no byte of it was written.
                 Err(mut error) => match error.take_message() {
                     Some(_) => written.set(false),
                     None => return UpstreamResult::new(Outcome::Reset),
@@ -263,116 +261,126 @@
         }
     }
 
-    fn message(&self, attempt: &Attempt) -> Option<Request<Full<Bytes>>> {
+    fn request_for(&self, attempt: &Attempt) -> Option<Request<Full<Bytes>>> {
         let http = &attempt.http;
-        let left = attempt.deadline.min(attempt.client_deadline).saturating_sub(self.clock.now()) / 1_000_000;
-        let mut message = Request::new(Full::new(http.body.clone()));
-        *message.method_mut() = http.method.clone();
-        *message.uri_mut() = http.target.clone();
-        *message.headers_mut() = http.headers.clone();
-        let headers = message.headers_mut();
-        headers.insert("x-budget-ms", HeaderValue::from(left));
+        let budget_ms =
+            attempt.deadline.min(attempt.client_deadline).saturating_sub(self.clock.now()) / 1_000_000;
+        let mut request = Request::new(Full::new(http.body.clone()));
+        *request.method_mut() = http.method.clone();
+        *request.uri_mut() = http.target.clone();
+        *request.headers_mut() = http.headers.clone();
+        let headers = request.headers_mut();
+        headers.insert("x-budget-ms", HeaderValue::from(budget_ms));
         if !headers.contains_key(HOST) {
             headers.insert(HOST, HeaderValue::from_str(&attempt.endpoint.to_string()).ok()?);
         }
-        Some(message)
+        Some(request)
     }
 
-    async fn read(
+    async fn read_response(
         &self,
         node: &Node,
-        place: Place,
-        link: Link,
+        key: PoolKey,
+        connection: Connection,
         response: Response<Incoming>,
     ) -> UpstreamResult {
         let (head, body) = response.into_parts();
         let report = load_report(&head.headers);
         let rejected = head.headers.get("x-rejected").is_some_and(|value| value == "1");
-        // With neither a length nor chunks an answer ends with its connection, and one cut short looks whole.
+        // Without a length or chunked encoding the body ends with the connection, and a truncated one looks
+        // complete.
         let framed = body.size_hint().exact().is_some() || head.headers.contains_key(TRANSFER_ENCODING);
-        let whole = Limited::new(body, MAX_BODY_BYTES).collect().await.ok().filter(|_| framed);
-        let body = whole.map(|whole| whole.to_bytes());
+        let complete = Limited::new(body, MAX_BODY_BYTES).collect().await.ok().filter(|_| framed);
+        let body = complete.map(|complete| complete.to_bytes());
         if body.is_some() {
-            self.keep(node, place, link);
+            self.checkin(node, key, connection);
         }
         let outcome = match (head.status, &body) {
             (StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT, _) if rejected => Outcome::Full,
             (_, None) => Outcome::Reset,
             (StatusCode::OK, Some(_)) => Outcome::Served,
-            // Whatever the status says, the request may have run.
+            // The request may have run, whatever the status.
             _ => Outcome::Error,
         };
         UpstreamResult { outcome, report, body: body.unwrap_or_default() }
     }
 
-    /// An idle connection; the one used last, so that those in excess grow old, of those that have settled.
-    fn take(&self, place: Place) -> Option<Taken> {
+    /// Takes the most recently used idle connection that is reusable, so that surplus ones reach the idle
+    /// timeout.
+    fn checkout(&self, key: PoolKey) -> Option<Checkout> {
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
-        let links = idle.get_mut(&place)?;
-        links.retain(|idle| self.is_good(idle));
-        match links.iter().rposition(|idle| idle.settled() <= now) {
-            Some(at) => Some(Taken::Link(links.remove(at).link)),
-            None => links.first().map(|idle| Taken::Settles(idle.settled())),
+        let connections = idle.get_mut(&key)?;
+        connections.retain(|idle| self.is_usable(idle));
+        match connections.iter().rposition(|idle| idle.reusable_at() <= now) {
+            Some(at) => Some(Checkout::Connection(connections.remove(at).connection)),
+            None => connections.first().map(|idle| Checkout::ReusableAt(idle.reusable_at())),
         }
     }
 
-    /// Whether an idle connection may still be used.
-    fn is_good(&self, idle: &Idle) -> bool {
+    /// Whether an idle connection is open and within the idle timeout.
+    fn is_usable(&self, idle: &IdleConnection) -> bool {
         let age = self.clock.now().saturating_sub(idle.since);
-        !idle.link.is_closed() && age < self.settings.idle_timeout / IDLE_PART
+        !idle.connection.is_closed() && age < self.settings.idle_timeout / IDLE_TIMEOUT_DIVISOR
     }
 
-    /// Back to the pool, unless its backend has left or moved since: nobody would take it from there.
-    fn keep(&self, node: &Node, place: Place, link: Link) {
-        if !link.is_closed() && node.is_in_service(place.0, place.1) {
-            self.idle.borrow_mut().entry(place).or_default().push(Idle { link, since: self.clock.now() });
+    /// Returns a connection to the pool, unless its backend is no longer in service at that address.
+    fn checkin(&self, node: &Node, key: PoolKey, connection: Connection) {
+        if !connection.is_closed() && node.is_in_service(key.0, key.1) {
+            self.idle
+                .borrow_mut()
+                .entry(key)
+                .or_default()
+                .push(IdleConnection { connection, since: self.clock.now() });
         }
     }
 
-    /// A place among the open connections, or none where all are taken. An idle one makes room for a new one
-    /// a little before the bound: its task ends a moment later.
-    fn slot(&self) -> Option<Counted> {
-        if self.open.get() >= self.most - self.most / 16 {
-            self.drop_oldest();
+    /// Reserves a slot for a new connection; none if all are in use. Close to the limit the oldest idle
+    /// connection is closed, early enough as its slot is freed only when its task ends.
+    fn reserve_slot(&self) -> Option<OpenSlot> {
+        if self.open.get() >= self.max_open - self.max_open / 16 {
+            self.close_oldest();
         }
-        (self.open.get() < self.most).then(|| Counted::new(&self.open))
+        (self.open.get() < self.max_open).then(|| OpenSlot::new(&self.open))
     }
 
-    async fn connect(&self, endpoint: SocketAddr, counted: Counted) -> Result<Link, ConnectError> {
+    async fn connect(&self, endpoint: SocketAddr, slot: OpenSlot) -> Result<Connection, ConnectError> {
         let limit = Duration::from_nanos(self.settings.connect_timeout);
-        let stream = timeout(limit, TcpStream::connect(endpoint)).await.map_err(|_| ConnectError::Silent)?;
+        let stream = timeout(limit, TcpStream::connect(endpoint)).await.map_err(|_| ConnectError::Timeout)?;
         let stream = stream.map_err(ConnectError::from)?;
         set_nodelay(&stream);
-        let (link, connection) = handshake(TokioIo::new(stream)).await?;
+        let (sender, connection) = handshake(TokioIo::new(stream)).await?;
         spawn_local(async move {
-            let _counted = counted;
+            let _slot = slot;
             if let Err(error) = connection.await {
-                tracing::debug!(%endpoint, cause = %error, "a connection to a backend broke");
+                tracing::debug!(%endpoint, cause = %error, "connection to a backend closed with an error");
             }
         });
-        Ok(link)
+        Ok(sender)
     }
 
-    fn drop_stale(&self) {
-        self.idle.borrow_mut().retain(|_, links| {
-            links.retain(|idle| self.is_good(idle));
-            !links.is_empty()
+    fn close_expired(&self) {
+        self.idle.borrow_mut().retain(|_, connections| {
+            connections.retain(|idle| self.is_usable(idle));
+            !connections.is_empty()
         });
     }
 
-    fn drop_oldest(&self) {
+    fn close_oldest(&self) {
         let mut idle = self.idle.borrow_mut();
-        let oldest = idle.values_mut().filter(|links| !links.is_empty()).min_by_key(|links| links[0].since);
-        if let Some(links) = oldest {
-            links.remove(0);
+        let oldest = idle
+            .values_mut()
+            .filter(|connections| !connections.is_empty())
+            .min_by_key(|connections| connections[0].since);
+        if let Some(connections) = oldest {
+            connections.remove(0);
         }
     }
 }
 
-/// A backend's figures of its load, under either of the names in use.
+/// The load report in a response's headers, with either of the names that backends use for each value.
 #[derive(Default, Deserialize)]
-struct Figures {
+struct LoadReportHeader {
     #[serde(alias = "load_share")]
     util: Option<f64>,
     #[serde(alias = "tps")]
@@ -381,11 +389,11 @@
     inflight: Option<f64>,
 }
 
-/// Reads the load report that an answer carries. One that can't be read says nothing, and harms nothing.
+/// Parses the load report of a response. An invalid one is ignored.
 fn load_report(headers: &HeaderMap) -> LoadReport {
     let text = headers.get("x-load-report").map(HeaderValue::as_bytes).unwrap_or_default();
-    let figures: Figures = serde_json::from_slice(text).unwrap_or_default();
-    LoadReport { util: figures.util, rate: figures.qps, in_flight: figures.inflight }
+    let values: LoadReportHeader = serde_json::from_slice(text).unwrap_or_default();
+    LoadReport { util: values.util, rate: values.qps, in_flight: values.inflight }
 }
 
 #[cfg(test)]
--- a/node/src/upstream/tests.rs
+++ b/node/src/upstream/tests.rs
@@ -10,12 +10,12 @@
 };
 use crate::driver::{BackendEntry, FinalResponse, PendingRequest};
 
-/// The node's own want of descriptors once counted against the backends, and ejected good ones.
+/// Guards against ejecting healthy backends when the node itself is out of connection slots.
 #[tokio::test]
-async fn out_of_connections_nobody_is_to_blame() {
+async fn a_lack_of_connection_slots_does_not_count_against_the_backend() {
     let (node, transport) = node(SECOND);
     node.update_backends(ListScope::Full, vec![backend_entry("s", Stage::InService)]);
-    let _waiting = node.submit(client_request(60 * SECOND));
+    let _pending = node.submit(client_request(60 * SECOND));
     let attempt = transport.attempts.borrow_mut().pop().expect("an attempt");
     let settings = ConnectionSettings { idle_timeout: SECOND, connect_timeout: SECOND };
     let upstream = Upstream::new(settings, Clock::start(), 0);
@@ -23,32 +23,33 @@
     assert_eq!(result.outcome, Outcome::Moot);
 }
 
-/// A node that had run out of local ports held it against every backend that it tried, and ejected healthy ones.
+/// Guards against ejecting healthy backends when the node itself is out of ports or descriptors.
 #[test]
-fn a_connect_that_fails_for_want_of_our_own_blames_nobody() {
-    let outcome = |kind: std::io::ErrorKind| ConnectError::from(std::io::Error::from(kind)).outcome();
-    let errno = |errno: rustix::io::Errno| ConnectError::from(std::io::Error::from(errno)).outcome();
-    assert_eq!(errno(rustix::io::Errno::ADDRNOTAVAIL), Outcome::Moot);
-    assert_eq!(errno(rustix::io::Errno::MFILE), Outcome::Moot);
-    assert_eq!(errno(rustix::io::Errno::CONNREFUSED), Outcome::ConnectFailed);
-    assert_eq!(outcome(std::io::ErrorKind::Other), Outcome::ConnectFailed);
+fn a_connect_that_fails_for_lack_of_local_resources_does_not_count_against_the_backend() {
+    let outcome_of_kind = |kind: std::io::ErrorKind| ConnectError::from(std::io::Error::from(kind)).outcome();
+    let outcome_of_errno =
+        |errno: rustix::io::Errno| ConnectError::from(std::io::Error::from(errno)).outcome();
+    assert_eq!(outcome_of_errno(rustix::io::Errno::ADDRNOTAVAIL), Outcome::Moot);
+    assert_eq!(outcome_of_errno(rustix::io::Errno::MFILE), Outcome::Moot);
+    assert_eq!(outcome_of_errno(rustix::io::Errno::CONNREFUSED), Outcome::ConnectFailed);
+    assert_eq!(outcome_of_kind(std::io::ErrorKind::Other), Outcome::ConnectFailed);
 }
 
-/// Requests were given up sooner than connections that never came up, and blamed nobody: a lost zone went on
-/// being tried.
+/// Requests time out before the connect does; without this an unreachable zone would never be detected.
 #[tokio::test]
-async fn a_connection_that_never_comes_up_counts_also_if_the_request_ends_first() {
-    let (listener, _queue) = silent().await;
-    let endpoint = listener.local_addr().expect("its address");
-    let (node, mut attempt, _held) = node_with_attempt(endpoint);
+async fn a_hanging_connect_counts_as_failed_also_if_the_request_times_out_first() {
+    let (listener, _queue) = listener_with_full_queue().await;
+    let endpoint = listener.local_addr().expect("local address");
+    let (node, mut attempt, _handles) = node_with_attempt(endpoint);
     attempt.deadline = node.clock().now() + SECOND / 4;
     let settings = ConnectionSettings { idle_timeout: SECOND, connect_timeout: SECOND };
     let upstream = Upstream::new(settings, node.clock(), 8);
-    let result = upstream.pool().end_of(&node, attempt).await;
+    let result = upstream.pool().run_to_end(&node, attempt).await;
     assert_eq!(result.outcome, Outcome::ConnectFailed);
 }
 
-/// A node and its attempt at a backend there, and what keeps the attempt from being withdrawn.
+/// A node, its attempt at a backend at this address, and the handles that keep the attempt from being
+/// cancelled.
 fn node_with_attempt(
     endpoint: SocketAddr,
 ) -> (Node, Attempt, (PendingRequest, tokio::sync::oneshot::Sender<()>)) {
@@ -57,19 +58,20 @@
         ListScope::Full,
         vec![BackendEntry { endpoint, ..backend_entry("s", Stage::InService) }],
     );
-    let waiting = node.submit(client_request(60 * SECOND));
+    let pending = node.submit(client_request(60 * SECOND));
     let mut attempt = transport.attempts.borrow_mut().pop().expect("an attempt");
-    let (withdraw, withdrawn) = tokio::sync::oneshot::channel();
-    attempt.cancelled = withdrawn;
-    (node, attempt, (waiting, withdraw))
+    let (cancel, cancelled) = tokio::sync::oneshot::channel();
+    attempt.cancelled = cancelled;
+    (node, attempt, (pending, cancel))
 }
 
-/// A listener whose queue is full: it says nothing to further connections until it accepts.
-async fn silent() -> (tokio::net::TcpListener, Vec<std::pin::Pin<Box<dyn Future<Output = ()>>>>) {
-    let socket = TcpSocket::new_v4().expect("a socket");
-    socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("an address");
-    let listener = socket.listen(1).expect("a listener");
-    let endpoint = listener.local_addr().expect("its address");
+/// A listener with a full accept queue, so that further connects hang, and the connections in its queue.
+async fn listener_with_full_queue()
+-> (tokio::net::TcpListener, Vec<std::pin::Pin<Box<dyn Future<Output = ()>>>>) {
+    let socket = TcpSocket::new_v4().expect("create a socket");
+    socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("bind");
+    let listener = socket.listen(1).expect("listen");
+    let endpoint = listener.local_addr().expect("local address");
     let connect = || async move {
         let _stream = TcpStream::connect(endpoint).await;
         std::future::pending().await
@@ -83,47 +85,47 @@
     (listener, queue)
 }
 
-/// A connection that came up late carried a repeat to a group that had forgotten the first copy: it ran twice.
+/// A retry that is sent after the backends have forgotten the first attempt would run twice.
 #[tokio::test]
-async fn a_repeat_whose_connection_comes_up_past_its_window_is_not_written() {
-    let (listener, queue) = silent().await;
-    let endpoint = listener.local_addr().expect("its address");
-    let (node, mut attempt, _held) = node_with_attempt(endpoint);
+async fn a_retry_whose_connect_outlasts_its_send_deadline_is_not_written() {
+    let (listener, queue) = listener_with_full_queue().await;
+    let endpoint = listener.local_addr().expect("local address");
+    let (node, mut attempt, _handles) = node_with_attempt(endpoint);
     attempt.send_by = node.clock().now() + SECOND / 4;
     let settings = ConnectionSettings { idle_timeout: SECOND, connect_timeout: 20 * SECOND };
     let upstream = Upstream::new(settings, node.clock(), 8);
     let pool = upstream.pool();
     let work = async {
         let attempt = async {
-            let began = node.clock().now();
-            let result = pool.end_of(&node, attempt).await;
-            (result, node.clock().now() - began)
+            let started_at = node.clock().now();
+            let result = pool.run_to_end(&node, attempt).await;
+            (result, node.clock().now() - started_at)
         };
-        // From now on connections come up, this one when its system asks again.
+        // From now on connects succeed, this one once the kernel retransmits the SYN.
         drop(queue);
-        let taken = async {
+        let received = async {
             let mut bytes = 0;
             while let Ok(Ok((mut stream, _))) = timeout(Duration::from_secs(3), listener.accept()).await {
-                let mut got = Vec::new();
-                let read = tokio::io::AsyncReadExt::read_to_end(&mut stream, &mut got);
+                let mut buffer = Vec::new();
+                let read = tokio::io::AsyncReadExt::read_to_end(&mut stream, &mut buffer);
                 let _ = timeout(Duration::from_millis(500), read).await;
-                bytes += got.len();
+                bytes += buffer.len();
             }
             bytes
         };
-        tokio::join!(attempt, taken)
+        tokio::join!(attempt, received)
     };
     let ((result, took), bytes) = tokio::task::LocalSet::new().run_until(work).await;
     assert_eq!((result.outcome, bytes), (Outcome::Moot, 0));
-    // The system asks again after a second: nobody waits for that.
+    // The kernel retransmits after a second; the attempt must not wait for it.
     assert!(took < SECOND * 9 / 10, "{took}");
 }
 
-/// A backend that answers each request, and hands out the connections that it has accepted.
-fn answering(body: &'static str) -> (SocketAddr, std::sync::mpsc::Receiver<std::net::TcpStream>) {
+/// Starts a backend that answers each request with this body and passes on the connections that it accepts.
+fn spawn_backend(body: &'static str) -> (SocketAddr, std::sync::mpsc::Receiver<std::net::TcpStream>) {
     use std::io::{BufRead, BufReader, Write};
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a listener");
-    let at = listener.local_addr().expect("its address");
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("listen");
+    let at = listener.local_addr().expect("local address");
     let (accepted, connections) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
@@ -136,9 +138,9 @@
                 for line in BufReader::new(stream).lines() {
                     let Ok(line) = line else { return };
                     if line.is_empty() {
-                        let answer =
+                        let response =
                             format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-                        let _ = writer.write_all(answer.as_bytes());
+                        let _ = writer.write_all(response.as_bytes());
                     }
                 }
             });
@@ -147,10 +149,10 @@
     (at, connections)
 }
 
-/// Two requests to one backend, the second over the connection that the first has left, if it still is any good. The
-/// event happens to that connection as the second is launched.
-async fn second_answer(event: impl FnOnce(std::net::TcpStream) + 'static) -> FinalResponse {
-    let (endpoint, connections) = answering("right");
+/// Sends two requests to one backend, the second over the idle connection of the first if that is still
+/// usable. The event happens to that connection as the second attempt starts.
+async fn second_response(event: impl FnOnce(std::net::TcpStream) + 'static) -> FinalResponse {
+    let (endpoint, connections) = spawn_backend("right");
     let settings = ConnectionSettings { idle_timeout: 60 * SECOND, connect_timeout: SECOND };
     let upstream = Upstream::new(settings, Clock::start(), 8);
     let transport = Rc::new(HookedUpstream { upstream, before_attempt: RefCell::default() });
@@ -169,31 +171,30 @@
     tokio::task::LocalSet::new().run_until(work).await
 }
 
-/// An answer that came twice, the second time as the next request was about to be written, was taken for the answer to
-/// that one.
+/// Guards against taking a response that the backend sent twice for the response to the next request.
 #[tokio::test]
-async fn a_second_answer_that_has_come_is_no_answer_to_the_next_request() {
-    let response = second_answer(|mut connection| {
+async fn a_duplicate_response_is_not_taken_for_that_of_the_next_request() {
+    let response = second_response(|mut connection| {
         let stale = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale";
-        std::io::Write::write_all(&mut connection, stale).expect("written");
+        std::io::Write::write_all(&mut connection, stale).expect("write");
     });
     assert!(matches!(response.await, FinalResponse::Served(body) if body == "right"));
 }
 
-/// A request written to a connection that its backend has closed may have run, for all that the node can know.
+/// A request that is written to a closed connection may have run, as far as the node can tell.
 #[tokio::test]
-async fn a_connection_that_has_just_been_closed_is_not_written_to() {
-    let response = second_answer(|connection| {
-        connection.shutdown(std::net::Shutdown::Both).expect("closed");
+async fn a_connection_that_the_backend_has_just_closed_is_not_written_to() {
+    let response = second_response(|connection| {
+        connection.shutdown(std::net::Shutdown::Both).expect("shut down");
     });
     assert!(matches!(response.await, FinalResponse::Served(body) if body == "right"));
 }
 
-/// The second answer came some milliseconds after the first, and the next request had been written in between.
+/// As above, with the duplicate arriving some milliseconds after the first response.
 #[tokio::test(start_paused = true)]
-async fn a_second_answer_that_comes_late_is_no_answer_to_the_next_request() {
-    let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a listener");
-    let endpoint = listener.local_addr().expect("its address");
+async fn a_late_duplicate_response_is_not_taken_for_that_of_the_next_request() {
+    let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("listen");
+    let endpoint = listener.local_addr().expect("local address");
     let settings = ConnectionSettings { idle_timeout: 60 * SECOND, connect_timeout: SECOND };
     let upstream = Upstream::new(settings, Clock::start(), 8);
     let transport = Rc::new(HookedUpstream { upstream, before_attempt: RefCell::default() });
@@ -203,7 +204,8 @@
         vec![BackendEntry { endpoint, ..backend_entry("s", Stage::InService) }],
     );
     let connections: Rc<RefCell<Vec<Rc<TcpStream>>>> = Rc::default();
-    let answer = |body: &str| format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    let response_with =
+        |body: &str| format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
     let work = async {
         let accepted = connections.clone();
         spawn_local(async move {
@@ -211,14 +213,14 @@
                 let stream = Rc::new(stream);
                 accepted.borrow_mut().push(stream.clone());
                 spawn_local(async move {
-                    // The answer to the next request on a connection takes longer than anybody waits here.
-                    let (mut chunk, mut answers) = ([0; 4096], true);
+                    // Only the first request on a connection is answered.
+                    let (mut chunk, mut unanswered) = ([0; 4096], true);
                     loop {
                         stream.readable().await.expect("readable");
                         match stream.try_read(&mut chunk) {
                             Ok(0) => return,
-                            Ok(_) if std::mem::take(&mut answers) => {
-                                assert!(stream.try_write(answer("right").as_bytes()).is_ok());
+                            Ok(_) if std::mem::take(&mut unanswered) => {
+                                assert!(stream.try_write(response_with("right").as_bytes()).is_ok());
                             }
                             Ok(_) => {}
                             Err(_) => {}
@@ -230,11 +232,11 @@
         let first = node.submit(client_request(60 * SECOND)).response().await;
         assert!(matches!(first, FinalResponse::Served(body) if body == "right"));
         let next = node.submit(client_request(60 * SECOND));
-        // Whatever would be written at once has been by now.
+        // Lets the node write the next request, if it would do so at once.
         for _ in 0..50 {
             yield_now().await;
         }
-        let _ = connections.borrow()[0].try_write(answer("stale").as_bytes());
+        let _ = connections.borrow()[0].try_write(response_with("stale").as_bytes());
         next.response().await
     };
     let response = tokio::task::LocalSet::new().run_until(work).await;
