--- a/node/src/discovery/mod.rs
+++ b/node/src/discovery/mod.rs
@@ -211,7 +211,12 @@
             tracing::warn!(rev = list.rev, "list version went backwards; fetching the full list");
             return;
         }
-        tracing::debug!(rev = list.rev, whole = list.all, lines = list.targets.len(), "poll answered");
+        tracing::debug!(
+            rev = list.rev,
+            whole = list.all,
+            lines = list.targets.len(),
+            "poll response received"
+        );
         let scope = if list.all { ListScope::Full } else { ListScope::Changes };
         if list.all || !list.targets.is_empty() {
             self.node.update_backends(scope, list.into_entries());
--- a/node/src/discovery/poller.rs
+++ b/node/src/discovery/poller.rs
@@ -1,11 +1,12 @@
 //! Decides when to poll discovery and how long to wait for each response, as a state machine: time is an
 //! argument, and the caller owns the sockets.
 //!
-//! A change of the list counts as known to the node from some time on, and the timeouts make sure that the
-//! node has it soon after. If a poll hangs, that is 6 s after it began to hang or 2 s after its hold time,
-//! whichever is later. After a failed poll it is 6 s after the change, however long the next hold time is.
-//! With an agent on the node's machine it is as soon as the agent has the change, also right after an outage
-//! of the agent. An overdue poll is therefore not waited for: another one is started beside it.
+//! From a certain time on, a change of the list counts as known and the node is expected to act on it. The
+//! timeouts make sure that the node has received it by then, give or take the grace period of a drain. With
+//! an agent on the node's machine, a change counts as known when the agent has it, also right after an outage
+//! of the agent. If a poll hangs, the changes it missed count as known 6 s after it began to hang or 2 s
+//! after its hold time, whichever is later; after a failed poll, 6 s after the change, however long the next
+//! hold time is. An overdue poll is therefore not waited for: another one is started beside it.
 
 use std::time::Duration;
 
@@ -113,7 +114,8 @@
         let from = self.rev.filter(|_| !full);
         let Timeouts { hold, hold_margin, response, overdue_after, max_in_flight, .. } = self.timeouts;
         // With an agent, changes count as known while a new connection is being opened, so the first poll
-        // over it has no hold time. If the agent closes the connection after each response, polls alternate.
+        // over it has no hold time. If the agent closes every connection, such a poll is followed by one with
+        // a hold time.
         let reconnecting = max_in_flight > 1 && !connected && !self.is_current;
         // After a failure or beside an overdue poll a response is wanted at once.
         let may_hold = from.is_some() && self.failures == 0 && self.in_flight.is_empty() && !reconnecting;
--- a/node/src/driver/timers.rs
+++ b/node/src/driver/timers.rs
@@ -13,7 +13,7 @@
     Watchdog(RequestId),
 }
 
-/// The pending timers, earliest first: at most one for each open request, and the balancer's.
+/// The pending timers, earliest first: at most one for each open request, plus those of the balancer.
 #[derive(Default)]
 pub struct TimerQueue(BTreeSet<(Nanos, Timer)>);
 
--- a/node/src/log.rs
+++ b/node/src/log.rs
@@ -124,7 +124,12 @@
     let filter = targets.and(RateLimitFilter(limiter.clone()));
     tracing_subscriber::registry().with(layer.with_filter(filter)).init();
     if let Some(error) = error {
-        tracing::warn!(variable = FILTER_VARIABLE, value = filter_text, cause = %error, "invalid log filter; using info");
+        tracing::warn!(
+            variable = FILTER_VARIABLE,
+            value = filter_text,
+            cause = %error,
+            "invalid log filter; using info"
+        );
     }
     if !matches!(format.as_str(), "" | "text" | "json") {
         tracing::warn!(
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -157,7 +157,7 @@
     let timers = node.clone();
     spawn_local(async move { timers.run_timers().await });
     let (phase, phases) = watch::channel(ShutdownPhase::Serving);
-    let deadline = node.longest_deadline();
+    let longest_deadline = node.longest_deadline();
     let server = spawn_local(server::run(listener, node, clients, phases));
     shutdown_signal(&mut terminate, &mut interrupt).await;
     let signalled_at = Instant::now();
@@ -165,11 +165,11 @@
     phase.send_replace(ShutdownPhase::Draining);
     sleep_until(signalled_at + CONNECTIONS_AFTER_SIGTERM).await;
     let response_deadline =
-        signalled_at + deadline.min(MAX_DRAIN_DEADLINE) + SIGKILL_MARGIN - RESPONSE_LATENCY;
+        signalled_at + longest_deadline.min(MAX_DRAIN_DEADLINE) + SIGKILL_MARGIN - RESPONSE_LATENCY;
     phase.send_replace(ShutdownPhase::Closing { response_deadline });
     // No accepted request is left after that, so remaining connections may be dropped.
     let _ = timeout_at(
-        signalled_at + CONNECTIONS_AFTER_SIGTERM + deadline.max(MAX_DRAIN_DEADLINE) + DRAIN_MARGIN,
+        signalled_at + CONNECTIONS_AFTER_SIGTERM + longest_deadline.max(MAX_DRAIN_DEADLINE) + DRAIN_MARGIN,
         server,
     )
     .await;
--- a/node/src/registry.rs
+++ b/node/src/registry.rs
@@ -82,15 +82,18 @@
             let (sent_at, result) = tokio::select! {
                 biased;
                 () = changed(&mut address_changes) => {
-                    self.clients =
-                        address_changes.borrow_and_update().iter().map(|address| HttpClient::new(*address)).collect();
+                    self.clients = address_changes
+                        .borrow_and_update()
+                        .iter()
+                        .map(|address| HttpClient::new(*address))
+                        .collect();
                     self.watch_client.set_replicas(self.clients.len());
                     continue;
                 }
                 fetched = fetch => fetched,
             };
             match result {
-                Ok((head, list)) => self.list_received(sent_at, head, list),
+                Ok((header, list)) => self.list_received(sent_at, header, list),
                 Err(error) => self.fetch_failed(&error),
             }
             self.publish_state();
@@ -106,16 +109,16 @@
         });
     }
 
-    fn list_received(&mut self, sent_at: Duration, head: ListHeader, list: BackendList) {
+    fn list_received(&mut self, sent_at: Duration, header: ListHeader, list: BackendList) {
         let now = self.started_at.elapsed();
-        let scope = match self.watch_client.on_response(sent_at, now, head) {
+        let scope = match self.watch_client.on_response(sent_at, now, header) {
             ListUpdate::Full => Some(ListScope::Full),
             ListUpdate::Changes => Some(ListScope::Changes),
             ListUpdate::Ignore => None,
         };
         if let Some((since, _)) = self.outage.take() {
             let away_ms = now.saturating_sub(since).as_millis() as u64;
-            tracing::info!(away_ms, rev = head.rev, "registry reachable again");
+            tracing::info!(away_ms, rev = header.rev, "registry reachable again");
         }
         let entries = list.into_entries();
         if let Some(scope) = scope.filter(|scope| *scope == ListScope::Full || !entries.is_empty()) {
@@ -125,7 +128,11 @@
 
     fn fetch_failed(&mut self, error: &FetchError) {
         let now = self.started_at.elapsed();
-        tracing::debug!(replica = %self.clients[self.watch_client.replica()].address(), cause = %error, "registry call failed");
+        tracing::debug!(
+            replica = %self.clients[self.watch_client.replica()].address(),
+            cause = %error,
+            "registry call failed"
+        );
         let retry_after =
             if let FetchError::Status { retry_after, .. } = error { *retry_after } else { None };
         self.watch_client.on_failure(now, retry_after, self.rng.random());
