--- a/fleet/src/call.rs
+++ b/fleet/src/call.rs
@@ -1,5 +1,5 @@
-//! One HTTP call after the other over a connection that is kept while it lasts. Time and size are bounded; a call that is
-//! given up takes its connection with it, so that no late answer is taken for the next call's.
+//! HTTP requests sent one after another over a persistent connection, bounded in time and size. A request that is
+//! abandoned closes its connection, so a late response is never taken for the response to the next request.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,46 +15,45 @@
 
 use crate::watch::LIST_AGE_HEADER;
 
-/// A connection that is not up by then does not come up.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Why a call brought no answer.
+/// Why a call got no response.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// No connection: the call was not made.
-    #[error("no connection: {0}")]
+    /// The connection could not be established: the request was not sent.
+    #[error("can't connect: {0}")]
     Connect(std::io::Error),
-    /// It broke; it may have been carried out.
-    #[error("the call broke: {0}")]
+    /// The connection failed during the request, which may have been processed.
+    #[error("HTTP request failed: {0}")]
     Http(#[from] hyper::Error),
-    /// Its answer broke, or was too long.
-    #[error("the answer broke or was too long: {0}")]
+    /// The response body was incomplete or exceeded the limit.
+    #[error("response body incomplete or too large: {0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
-    /// No answer in time; it may have been carried out.
-    #[error("no answer in time")]
+    /// No response arrived in time; the request may have been processed.
+    #[error("no response within the timeout")]
     Timeout,
-    /// What was asked can't be asked.
-    #[error("no such request: {0}")]
+    /// The request is not valid HTTP.
+    #[error("invalid request: {0}")]
     Request(#[from] hyper::http::Error),
 }
 
-/// What is asked.
+/// A request to be sent.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// GET where there is no body, else POST.
+    /// The body: the method is POST if there is one, and GET otherwise.
     pub body: Option<Bytes>,
-    /// Path and query.
+    /// The path and query of the URI.
     pub path_and_query: String,
-    /// Further headers.
+    /// Headers to be sent besides `host`.
     pub headers: Vec<(&'static str, String)>,
-    /// It takes no longer.
+    /// Time limit for the whole call, including connecting.
     pub timeout: Duration,
-    /// Bytes that the answer may have.
+    /// Size limit of the response body.
     pub max_response_bytes: usize,
 }
 
 impl Call {
-    /// A GET.
+    /// Creates a GET request.
     pub fn get(path_and_query: impl Into<String>, timeout: Duration, max_response_bytes: usize) -> Self {
         Self {
             body: None,
@@ -65,7 +64,7 @@
         }
     }
 
-    /// A POST.
+    /// Creates a POST request.
     pub fn post(
         path_and_query: impl Into<String>,
         body: Vec<u8>,
@@ -76,54 +75,55 @@
     }
 }
 
-/// What came back.
+/// A response with its whole body.
 #[derive(Clone, Debug)]
 pub struct Response {
-    /// Its status.
+    /// The HTTP status.
     pub status: StatusCode,
-    /// Its headers.
+    /// The response headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The response body.
     pub body: Bytes,
 }
 
 impl Response {
-    /// A header's text.
+    /// Returns the value of a header, if it is present and printable.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// How old its list may be at most; none if the replica can't tell.
+    /// Returns the upper bound of the list's age; `None` if the replica does not know it.
     pub fn list_age(&self) -> Option<Duration> {
         self.header(LIST_AGE_HEADER)?.parse().ok().map(Duration::from_millis)
     }
 }
 
-/// Where calls go, with the connection that is open to there.
+/// An HTTP client for one address that reuses its connection.
 pub struct HttpClient {
     address: SocketAddr,
     sender: Option<SendRequest<Full<Bytes>>>,
 }
 
 impl HttpClient {
-    /// No connection yet.
+    /// Creates a client that connects on the first call.
     pub fn new(address: SocketAddr) -> Self {
         Self { address, sender: None }
     }
 
-    /// Where calls go.
+    /// Returns the address of the server.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Makes a call. It goes out at most once: a connection that had been closed meanwhile is noticed before.
+    /// Sends a request and reads its response. The request is sent at most once: a connection that the server has closed
+    /// is replaced before the request is written.
     pub async fn call(&mut self, call: &Call) -> Result<Response, CallError> {
-        // Taken, so that it goes with a call that is dropped half way.
+        // Moved out of `self`, so that dropping this future closes the connection.
         let sender = self.sender.take().filter(|sender| !sender.is_closed());
-        let (sender, answer) =
+        let (sender, response) =
             timeout(call.timeout, self.exchange(sender, call)).await.map_err(|_| CallError::Timeout)??;
         self.sender = Some(sender);
-        Ok(answer)
+        Ok(response)
     }
 
     async fn exchange(
@@ -131,12 +131,12 @@
         sender: Option<SendRequest<Full<Bytes>>>,
         call: &Call,
     ) -> Result<(SendRequest<Full<Bytes>>, Response), CallError> {
-        let kept = match sender {
-            Some(mut kept) => kept.ready().await.is_ok().then_some(kept),
+        let ready_sender = match sender {
+            Some(mut ready_sender) => ready_sender.ready().await.is_ok().then_some(ready_sender),
             None => None,
         };
-        let mut sender = match kept {
-            Some(kept) => kept,
+        let mut sender = match ready_sender {
+            Some(ready_sender) => ready_sender,
             None => self.connect().await?,
         };
         sender.ready().await?;
@@ -149,22 +149,22 @@
             request = request.header(*name, value);
         }
         let request = request.body(Full::new(call.body.clone().unwrap_or_default()))?;
-        let (head, body) = sender.send_request(request).await?.into_parts();
+        let (parts, body) = sender.send_request(request).await?.into_parts();
         let body =
             Limited::new(body, call.max_response_bytes).collect().await.map_err(CallError::Body)?.to_bytes();
-        Ok((sender, Response { status: head.status, headers: head.headers, body }))
+        Ok((sender, Response { status: parts.status, headers: parts.headers, body }))
     }
 
     async fn connect(&self) -> Result<SendRequest<Full<Bytes>>, CallError> {
         let timed_out = |_| CallError::Connect(std::io::ErrorKind::TimedOut.into());
         let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.address)).await.map_err(timed_out)?;
         let stream = stream.map_err(CallError::Connect)?;
-        // Some systems refuse the option on a connection that has just gone; the call will show it.
+        // Some systems refuse the option on a closed connection; the request will then fail.
         let _ = stream.set_nodelay(true);
         let (sender, connection) = handshake(TokioIo::new(stream)).await?;
         tokio::spawn(async move {
             if let Err(error) = connection.await {
-                tracing::debug!(cause = %error, "the connection broke");
+                tracing::debug!(cause = %error, "connection closed with an error");
             }
         });
         Ok(sender)
--- a/fleet/src/clock.rs
+++ b/fleet/src/clock.rs
@@ -1,38 +1,38 @@
-//! A process's one clock. What is given a time as an argument needs none.
+//! The monotonic clock of a process.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Nanoseconds that never step back, counted from the Unix time at the start, so that times told by other machines
-/// compare with them.
+/// A monotonic clock in nanoseconds. It starts at the Unix time of its creation, so its readings are comparable with
+/// timestamps from other hosts.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    began: Instant,
-    offset: u64,
+    started_at: Instant,
+    unix_offset_ns: u64,
 }
 
 impl Clock {
-    /// A clock that starts at the present time.
+    /// Starts a clock at the current Unix time.
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Self { began: Instant::now(), offset: nanos(unix) }
+        Self { started_at: Instant::now(), unix_offset_ns: nanos(unix) }
     }
 
-    /// The present.
+    /// Returns the current reading in nanoseconds.
     pub fn now(&self) -> u64 {
-        self.offset.saturating_add(nanos(self.began.elapsed()))
+        self.unix_offset_ns.saturating_add(nanos(self.started_at.elapsed()))
     }
 
-    /// The runtime's time for one of this clock's.
+    /// Converts a reading of this clock to a tokio instant.
     pub fn instant(&self, at: u64) -> tokio::time::Instant {
-        (self.began + Duration::from_nanos(at.saturating_sub(self.offset))).into()
+        (self.started_at + Duration::from_nanos(at.saturating_sub(self.unix_offset_ns))).into()
     }
 
-    /// Waits until then.
+    /// Sleeps until this clock reads `at`.
     pub async fn sleep_until(&self, at: u64) {
         tokio::time::sleep_until(self.instant(at)).await;
     }
 }
 
-fn nanos(span: Duration) -> u64 {
-    u64::try_from(span.as_nanos()).unwrap_or(u64::MAX)
+fn nanos(duration: Duration) -> u64 {
+    u64::try_from(duration.as_nanos()).unwrap_or(u64::MAX)
 }
--- a/fleet/src/file.rs
+++ b/fleet/src/file.rs
@@ -1,4 +1,4 @@
-//! The fleet file: TOML, checked whole before anything is taken from it. A problem is told with its file, line and key.
+//! The fleet file, in TOML. It is validated as a whole before any of it is used. Errors name the file, line and key.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,32 +9,31 @@
 use serde::{Deserialize, Serialize};
 use toml::de::{DeTable, DeValue};
 
-/// A file larger than this is none.
 const MAX_FILE_BYTES: u64 = 1024 * 1024;
-/// Zones, and bytes of a name, at most.
+/// Maximum number of zones.
 pub const MAX_ZONES: usize = 64;
-/// See [`MAX_ZONES`].
+/// Maximum length of the name of a zone or region.
 pub const MAX_NAME_BYTES: usize = 128;
-/// Replicas of one registry at most.
+/// Maximum number of replicas of a registry.
 pub const MAX_REPLICAS: usize = 9;
 
-/// What a process is told of its fleet.
+/// The fleet file.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Fleet {
-    /// The registry, if it has one.
+    /// The registry, if the fleet has one.
     pub registry: Option<Registry>,
-    /// What is ordered of zones, by their names; the others are open.
+    /// Overrides for zones, by name; all other zones receive their full share.
     pub zones: BTreeMap<String, Zone>,
 }
 
-/// What is ordered of a zone.
+/// Overrides for a zone.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Zone {
-    /// The region that it lies in: zones of one name are near to each other.
+    /// The zone's region. Zones of the same region are close to each other.
     pub region: String,
-    /// Part of the requests that would go there which it may be given, 0 to 1.
+    /// Fraction, from 0 to 1, of the requests that the zone would otherwise receive.
     pub share: f64,
 }
 
@@ -44,22 +43,22 @@
     }
 }
 
-/// Where the registry is.
+/// Location of the registry.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Registry {
-    /// Its replicas' addresses for clients, in any order.
+    /// Client addresses of the replicas, in any order.
     pub addresses: Vec<SocketAddr>,
 }
 
-/// Why a file is not taken.
+/// Why a file was rejected.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FileError {
     /// The file.
     pub file: PathBuf,
-    /// The line, from 1, where one is at fault.
+    /// Line number of the error, from 1, if it is known.
     pub line: Option<usize>,
-    /// What is wrong, with the key, and what would be right.
+    /// Description of the error.
     pub text: String,
 }
 
@@ -74,16 +73,16 @@
 
 impl std::error::Error for FileError {}
 
-/// What makes no sense in a file, by its key.
+/// An invalid value in a file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ValidationError {
-    /// The key, as `registry.addresses`.
+    /// Dotted path of the key, such as `registry.addresses`.
     pub key: String,
-    /// What would be right.
+    /// Description of the valid values.
     pub text: String,
 }
 
-/// Reads a TOML file of any type, and checks what it holds.
+/// Reads a TOML file of any type and validates it with `check`.
 pub fn read<T: DeserializeOwned>(
     file: &Path,
     check: impl FnOnce(&T) -> Result<(), ValidationError>,
@@ -91,21 +90,21 @@
     let fail = |line: Option<usize>, text: String| FileError { file: file.to_owned(), line, text };
     let size = std::fs::metadata(file).map_err(|error| fail(None, error.to_string()))?.len();
     if size > MAX_FILE_BYTES {
-        return Err(fail(None, format!("{size} bytes are too many; {MAX_FILE_BYTES} at most")));
+        return Err(fail(None, format!("file has {size} bytes, the limit is {MAX_FILE_BYTES}")));
     }
     let text = std::fs::read_to_string(file).map_err(|error| fail(None, error.to_string()))?;
     let line_of = |at: usize| text.as_bytes().iter().take(at).filter(|byte| **byte == b'\n').count() + 1;
     let parsed: T = toml::from_str(&text)
         .map_err(|error| fail(error.span().map(|span| line_of(span.start)), error.message().to_owned()))?;
-    check(&parsed).map_err(|problem| {
-        let line = find(&text, &problem.key).map(line_of);
-        fail(line, format!("{}: {}", problem.key, problem.text))
+    check(&parsed).map_err(|invalid| {
+        let line = offset_of(&text, &invalid.key).map(line_of);
+        fail(line, format!("{}: {}", invalid.key, invalid.text))
     })?;
     Ok(parsed)
 }
 
-/// Where a key such as `fault[2].zone` stands, or its nearest table that does.
-fn find(text: &str, key: &str) -> Option<usize> {
+/// Returns the byte offset of a key such as `fault[2].zone`, or that of its innermost parent that is present.
+fn offset_of(text: &str, key: &str) -> Option<usize> {
     let table = DeTable::parse(text).ok()?;
     let mut at = None;
     let mut value: Option<&DeValue> = None;
@@ -114,12 +113,12 @@
             Some((name, rest)) => (name, rest.trim_end_matches(']').parse::<usize>().ok()),
             None => (part, None),
         };
-        let inside = match value {
+        let nested = match value {
             None => table.get_ref(),
-            Some(DeValue::Table(inside)) => inside,
+            Some(DeValue::Table(nested)) => nested,
             Some(_) => return at,
         };
-        let Some((key, found)) = inside.iter().find(|(key, _)| key.get_ref().as_ref() == name) else {
+        let Some((key, found)) = nested.iter().find(|(key, _)| key.get_ref().as_ref() == name) else {
             return at;
         };
         at = Some(key.span().start);
@@ -135,33 +134,36 @@
 }
 
 impl Fleet {
-    /// Reads and checks a fleet file.
+    /// Reads and validates a fleet file.
     pub fn read(file: &Path) -> Result<Self, FileError> {
         read(file, Self::check)
     }
 
-    /// Whether it makes sense.
+    /// Validates the values.
     pub fn check(&self) -> Result<(), ValidationError> {
-        let wrong = |key: &str, text: String| Err(ValidationError { key: key.to_owned(), text });
+        let invalid = |key: &str, text: String| Err(ValidationError { key: key.to_owned(), text });
         if self.zones.len() > MAX_ZONES {
-            return wrong("zones", format!("{MAX_ZONES} at most"));
+            return invalid("zones", format!("must have at most {MAX_ZONES} zones"));
         }
         for (name, zone) in &self.zones {
             if name.len().max(zone.region.len()) > MAX_NAME_BYTES {
-                return wrong("zones", format!("names have {MAX_NAME_BYTES} bytes at most"));
+                return invalid(
+                    "zones",
+                    format!("names of zones and regions must have at most {MAX_NAME_BYTES} bytes"),
+                );
             }
             if !(0.0..=1.0).contains(&zone.share) {
-                return wrong(&format!("zones.{name}.share"), "a share from 0 to 1 is wanted".to_owned());
+                return invalid(&format!("zones.{name}.share"), "must be between 0 and 1".to_owned());
             }
         }
         let Some(registry) = &self.registry else { return Ok(()) };
-        let problem = |text: String| wrong("registry.addresses", text);
+        let invalid_addresses = |text: String| invalid("registry.addresses", text);
         let addresses = &registry.addresses;
         if addresses.is_empty() || addresses.len() > MAX_REPLICAS {
-            return problem(format!("1 to {MAX_REPLICAS} addresses are wanted"));
+            return invalid_addresses(format!("must have 1 to {MAX_REPLICAS} addresses"));
         }
-        let twice = addresses.iter().enumerate().find(|(at, one)| addresses[..*at].contains(one));
-        twice.map_or(Ok(()), |(_, one)| problem(format!("{one} stands there twice")))
+        let duplicate = addresses.iter().enumerate().find(|(at, address)| addresses[..*at].contains(address));
+        duplicate.map_or(Ok(()), |(_, address)| invalid_addresses(format!("duplicate address {address}")))
     }
 }
 
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -1,11 +1,13 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
-//! What the processes of a fleet share.
+//! Code shared by the processes of a fleet.
 //!
-//! [`mod@file`] is the fleet file, by which a process knows of the others. [`watch`] is a client of the registry as a state
-//! machine: which replica to ask for what, and when; it has neither sockets nor a clock. [`call`] carries such a call
-//! over a connection that is kept, bounded in time and size; [`clock`] is a process's one clock, and [`parent_process`] ends a process
-//! with whoever started it.
+//! - [`mod@file`] reads the fleet file, which names the registry's replicas and limits the share of each zone.
+//! - [`watch`] is a client that watches the registry's instance list, written as a state machine without sockets or
+//!   a clock.
+//! - [`call`] sends HTTP requests over a persistent connection, bounded in time and size.
+//! - [`clock`] is the monotonic clock of a process.
+//! - [`parent_process`] ends a process when its parent has exited.
 
 pub mod call;
 pub mod clock;
--- a/fleet/src/parent_process.rs
+++ b/fleet/src/parent_process.rs
@@ -1,14 +1,14 @@
-//! What keeps a program from outliving whoever started it.
+//! Ends a child process when its parent has exited.
 
-/// Set to `stdin` by a program that starts others and must not leave any behind: they end with their input.
+/// Set to `stdin` by a parent that keeps the child's standard input open for as long as it runs.
 pub const ENV_VAR: &str = "EDGE_TETHER";
 
-/// Where the environment asks for it, ends the process outright once whoever started it has gone, which closes its
-/// standard input.
+/// If [`ENV_VAR`] is set to `stdin`, exits the process as soon as its standard input reaches end of file, which the
+/// operating system guarantees when the parent exits.
 pub fn exit_with_parent() {
     if std::env::var(ENV_VAR).is_ok_and(|to| to == "stdin") {
         std::thread::spawn(|| {
-            // What comes is not looked at; an input that can't be read has no one at its other end either.
+            // The input is discarded. A read error also means that the parent is gone.
             let _ = std::io::copy(&mut std::io::stdin(), &mut std::io::sink());
             std::process::exit(0);
         });
--- a/fleet/src/watch.rs
+++ b/fleet/src/watch.rs
@@ -1,30 +1,30 @@
-//! A client of the registry as a state machine: which replica it asks for what, and when; and what it makes of the answer.
-//! Time and luck are arguments.
+//! A client that watches the registry's instance list, as a state machine: it decides which replica to send which
+//! request and when, and how to apply the response. Time and randomness are arguments.
 //!
-//! It has one version of the list, which never steps back, whichever replica it asks. While no replica answers, what it
-//! has stands, with its age. A new incarnation of the registry (a restore, or a new start from nothing) may not know
-//! yet who is in service: what it lists counts, and those that it does not list stay for [`WatchPolicy::incarnation_grace`], in which
-//! they register again.
+//! The client holds one revision of the list, which never goes backwards, whichever replica responds. While no replica
+//! responds, the client keeps its list and reports its age. A new incarnation of the registry (after a restore, or a
+//! start with empty stores) may not know all instances yet. Its list is merged, and instances that are missing from it
+//! are kept for [`WatchPolicy::incarnation_grace`], so that they have time to register again.
 
 use std::time::Duration;
 
-/// Where the list is, and is watched.
+/// Path at which the instance list is read and watched.
 pub const INSTANCES_PATH: &str = "/registry/instances";
-/// The header that says how old an answer's list may be at most, in milliseconds, or `unknown`.
+/// Response header with the upper bound of the list's age in milliseconds, or `unknown`.
 pub const LIST_AGE_HEADER: &str = "x-list-age-ms";
 
-/// How patient a client is.
+/// Timing of a watch client.
 #[derive(Clone, Copy, Debug)]
 pub struct WatchPolicy {
-    /// How long a watch may wait for news.
+    /// How long a long poll may wait for a change.
     pub hold: Duration,
-    /// The first wait after every replica has failed, and the longest.
+    /// The initial and the maximum backoff after failures.
     pub retry_backoff: (Duration, Duration),
-    /// Calls are no closer together than this, however fast the list changes.
+    /// Minimum interval between two requests, however fast the list changes.
     pub min_interval: Duration,
-    /// A replica whose answers are older than this is left for another one.
+    /// Age of the list beyond which the client tries another replica.
     pub max_age: Duration,
-    /// How long a new incarnation has to learn of everybody.
+    /// How long instances that a new incarnation does not list are kept.
     pub incarnation_grace: Duration,
 }
 
@@ -41,21 +41,21 @@
     }
 }
 
-/// What is asked of a replica.
+/// A request to be sent to a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WatchRequest {
-    /// Which one, by its place among the addresses.
+    /// Index of the replica among the addresses.
     pub replica: usize,
-    /// Changes since this version; none for the whole list.
+    /// Revision after which changes are requested; `None` requests the full list.
     pub from: Option<u64>,
-    /// The newest version that was ever seen: a replica that has not reached it must not answer.
+    /// Newest revision that the client has seen: a replica that has not reached it must not respond with its list.
     pub seen: Option<u64>,
-    /// How long it may wait for news; nothing where the whole list is wanted.
+    /// How long the replica may wait for a change; zero for an immediate response.
     pub hold: Duration,
 }
 
 impl WatchRequest {
-    /// Path and query of the call.
+    /// Returns the path and query of the request.
     pub fn path_and_query(&self) -> String {
         let mut path_and_query = format!("{INSTANCES_PATH}?hold_ms={}", self.hold.as_millis());
         for (name, value) in [("from", self.from), ("seen", self.seen)] {
@@ -65,52 +65,52 @@
     }
 }
 
-/// What an answer says of itself.
+/// Metadata of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListHeader {
     /// The registry's incarnation.
     pub incarnation: u64,
-    /// The version that the client has with it.
+    /// The revision that the client holds after applying the response.
     pub rev: u64,
-    /// Whether it is the whole list.
+    /// Whether the response is the full list, as opposed to changes.
     pub full: bool,
-    /// How old it may be at most; none if the replica can't tell.
+    /// Upper bound of the list's age; `None` if the replica does not know it.
     pub age: Option<Duration>,
 }
 
-/// What is to be done with an answer's lines.
+/// How the caller must apply the instances of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
-    /// They are the whole list: who is missing has gone.
+    /// They are the full list: instances that are missing have left.
     Full,
-    /// They change the list; who is missing stays.
+    /// They are merged into the list: instances that are missing stay.
     Changes,
-    /// Nothing: it is older than what the client has.
+    /// They are discarded: the response is older than the client's list, or can't be applied to it.
     Ignore,
 }
 
-/// A client of the registry.
+/// The state of a watch client.
 #[derive(Clone, Debug)]
 pub struct WatchClient {
     policy: WatchPolicy,
     replicas: usize,
     replica_index: usize,
-    /// What it has: incarnation and version.
+    /// Incarnation and revision of the client's list.
     current: Option<(u64, u64)>,
-    /// As of when the list is known to be true; a time of its own clock.
+    /// The latest time, on the client's clock, at which the list is known to have been current.
     as_of: Option<Duration>,
-    /// Until when a new incarnation is learning who is there.
+    /// End of the grace period after a change of incarnation.
     grace_until: Option<Duration>,
-    /// Whether the whole list is wanted next.
     full_list_wanted: bool,
-    /// Failures in a row, and how many replicas in a row said that they know little.
-    failures: u32,
+    consecutive_failures: u32,
+    /// Consecutive responses whose list was older than [`WatchPolicy::max_age`].
     consecutive_stale: usize,
     next_call_at: Duration,
 }
 
 impl WatchClient {
-    /// A client of so many replicas. `random`, from 0 to 1, says which one it asks first, so that a fleet spreads.
+    /// Creates a client of this number of replicas. `random`, from 0 to 1, selects the first replica, which distributes
+    /// the clients of a fleet.
     pub fn new(policy: WatchPolicy, replicas: usize, random: f64) -> Self {
         let replicas = replicas.max(1);
         Self {
@@ -121,39 +121,39 @@
             as_of: None,
             grace_until: None,
             full_list_wanted: true,
-            failures: 0,
+            consecutive_failures: 0,
             consecutive_stale: 0,
             next_call_at: Duration::ZERO,
         }
     }
 
-    /// The next call, and not before when.
+    /// Returns the next request and the earliest time to send it.
     pub fn next_request(&mut self, now: Duration) -> (Duration, WatchRequest) {
         if self.grace_until.is_some_and(|until| until <= now) {
-            // Who has not registered by now has gone.
+            // The grace period is over: instances that are still missing have left.
             self.full_list_wanted = true;
         }
         let from = self.current.filter(|_| !self.full_list_wanted).map(|(_, rev)| rev);
-        // A watch must not outlast the time that a new incarnation has.
-        let left = self
+        // A long poll must not outlast the grace period.
+        let max_hold = self
             .grace_until
             .map_or(self.policy.hold, |until| until.saturating_sub(now).max(self.policy.min_interval));
-        // Whoever was just kept waiting wants an answer, not news: what a silent watch missed counts as told 2 s after
-        // its wait, and the next replica may be as silent.
-        let long_poll = from.is_some() && self.failures == 0;
-        let hold = if long_poll { self.policy.hold.min(left) } else { Duration::ZERO };
+        // After a failure the next replica must respond at once: it may be unresponsive too, and a long poll would add
+        // its whole hold time to the delay.
+        let long_poll = from.is_some() && self.consecutive_failures == 0;
+        let hold = if long_poll { self.policy.hold.min(max_hold) } else { Duration::ZERO };
         let request =
             WatchRequest { replica: self.replica_index, from, seen: self.current.map(|(_, rev)| rev), hold };
         (self.next_call_at.max(now), request)
     }
 
-    /// A replica has answered with a list; the call went out at `sent_at`.
+    /// Handles a list from a replica, which was requested at `sent_at`.
     pub fn on_response(&mut self, sent_at: Duration, now: Duration, header: ListHeader) -> ListUpdate {
-        self.failures = 0;
+        self.consecutive_failures = 0;
         self.next_call_at = sent_at + self.policy.min_interval;
         let stale = header.age.is_none_or(|age| age > self.policy.max_age);
         if stale && self.consecutive_stale + 1 < self.replicas {
-            // Another one may know more; what this one knows counts all the same.
+            // Another replica may be more current. This response is applied nevertheless.
             self.consecutive_stale += 1;
             self.replica_index = (self.replica_index + 1) % self.replicas;
         } else if !stale {
@@ -161,7 +161,7 @@
         }
         if let Some(age) = header.age {
             let as_of = now.saturating_sub(age);
-            self.as_of = Some(self.as_of.map_or(as_of, |known| known.max(as_of)));
+            self.as_of = Some(self.as_of.map_or(as_of, |latest| latest.max(as_of)));
         }
         match self.current {
             Some((incarnation, rev)) if (header.incarnation, header.rev) < (incarnation, rev) => {
@@ -172,7 +172,7 @@
             }
             _ => {}
         }
-        // Changes make sense only to whom they were told for.
+        // Changes can only be applied to the revision that they were requested from.
         let full_list_wanted = std::mem::replace(&mut self.full_list_wanted, false);
         if !header.full && (full_list_wanted || self.current.is_none()) {
             self.full_list_wanted = true;
@@ -190,56 +190,56 @@
         }
     }
 
-    /// A replica did not answer, or with no list. `after` is the wait that it asked for, if it did; `random`, from 0 to 1,
-    /// spreads the calls of a fleet.
-    pub fn on_failure(&mut self, now: Duration, after: Option<Duration>, random: f64) {
+    /// Handles a request that failed or brought no list. `retry_after` is the wait that the replica asked for, if any;
+    /// `random`, from 0 to 1, is the jitter of the backoff.
+    pub fn on_failure(&mut self, now: Duration, retry_after: Option<Duration>, random: f64) {
         self.replica_index = (self.replica_index + 1) % self.replicas;
-        self.failures = self.failures.saturating_add(1);
-        let rounds = self.failures / self.replicas as u32;
-        let (first, longest) = self.policy.retry_backoff;
-        let wait = if rounds == 0 {
-            // Another one is asked almost at once; the spread keeps a fleet from falling on it in one instant.
-            first
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
+        let failed_rounds = self.consecutive_failures / self.replicas as u32;
+        let (initial, max) = self.policy.retry_backoff;
+        let wait = if failed_rounds == 0 {
+            // The next replica is tried almost at once; the jitter spreads the requests of a fleet.
+            initial
         } else {
-            first.saturating_mul(1 << rounds.min(16)).min(longest)
+            initial.saturating_mul(1 << failed_rounds.min(16)).min(max)
         };
-        let wait = wait.max(after.unwrap_or_default().min(longest));
+        let wait = wait.max(retry_after.unwrap_or_default().min(max));
         self.next_call_at = now + wait.mul_f64(0.5 + 0.5 * random.clamp(0.0, 1.0));
     }
 
-    /// The whole list is wanted next.
+    /// Makes the next request ask for the full list.
     pub fn request_full_list(&mut self) {
         self.full_list_wanted = true;
     }
 
-    /// The replicas are others now, so many of them. It is the same registry: the version stands.
+    /// Replaces the set of replicas by another one of this size, of the same registry: the revision is kept.
     pub fn set_replicas(&mut self, replicas: usize) {
         self.replicas = replicas.max(1);
-        (self.replica_index, self.failures, self.consecutive_stale) = (0, 0, 0);
+        (self.replica_index, self.consecutive_failures, self.consecutive_stale) = (0, 0, 0);
         self.next_call_at = Duration::ZERO;
     }
 
-    /// Whether no replica has answered since each was asked.
+    /// Returns whether every replica has failed since the last response.
     pub fn all_replicas_failed(&self) -> bool {
-        self.failures as usize >= self.replicas
+        self.consecutive_failures as usize >= self.replicas
     }
 
-    /// How old the list is at most; none if it was never known to be true.
+    /// Returns the upper bound of the list's age; `None` if it is unknown.
     pub fn age(&self, now: Duration) -> Option<Duration> {
         self.as_of.map(|as_of| now.saturating_sub(as_of))
     }
 
-    /// As of when the list is known to be true; none if it never was.
+    /// Returns the latest time at which the list is known to have been current.
     pub fn as_of(&self) -> Option<Duration> {
         self.as_of
     }
 
-    /// Which replica is asked now, by its place among the addresses.
+    /// Returns the index of the replica that the next request goes to.
     pub fn replica(&self) -> usize {
         self.replica_index
     }
 
-    /// The version that it has.
+    /// Returns the revision of the list.
     pub fn rev(&self) -> Option<u64> {
         self.current.map(|(_, rev)| rev)
     }
