--- a/cli/tests/registry/main.rs
+++ b/cli/tests/registry/main.rs
@@ -427,7 +427,7 @@
     other["endpoint"] = json!("127.0.0.1:9001");
     let (status, text) = refusal(ask("/registry/register", other).await);
     assert_eq!(status, 409, "{text}");
-    assert!(text.contains("two processes have one name"), "{text}");
+    assert!(text.contains("two processes have the same name"), "{text}");
     // Its clock went back an hour before it started again: it waits for its former life's lease.
     let hour = 3_600_000;
     ask("/registry/register", instance("late", 2 * hour)).await.expect("taken");
--- a/registry/src/list.rs
+++ b/registry/src/list.rs
@@ -1,280 +1,286 @@
-//! The list and its versions. The same commands in the same order give the same list on every replica: there is no
-//! time in it, since when a command was thought of is not when it is carried out.
+//! The instance list and its revisions: the deterministic part of the replicated state. Applying the same commands in
+//! the same order gives the same list on every replica, so nothing here reads a clock.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// Instances on the list at most.
-pub const MOST_INSTANCES: usize = 20_000;
-/// Bytes of any name.
-pub const MOST_NAME: usize = 128;
-/// Changes that are kept for watchers; one that is further behind gets the whole list.
-pub const HISTORY: usize = 10_000;
-/// Lines of a part of a backup: a part has to fit into one entry of the log.
+/// Maximum number of instances on the list.
+pub const MAX_INSTANCES: usize = 20_000;
+/// Maximum length of a name.
+pub const MAX_NAME_BYTES: usize = 128;
+/// Number of changes that are kept for watchers. A watcher that is further behind gets the full list.
+pub const MAX_HISTORY: usize = 10_000;
+/// Maximum number of lines in a part of a backup, which is replicated as one log entry.
 pub const MAX_PART_LINES: usize = 200;
-/// A version of the list.
+/// A revision of the list.
 pub type Rev = u64;
 
-/// A version past all that were ever told before this second of Unix time: what begins anew, from nothing or from a
-/// backup, begins there, and no client has seen more. An incarnation has room for four thousand million changes.
-pub fn past_all_before(unix_s: u64) -> Rev {
+/// Returns a revision that is greater than all revisions assigned before this second of Unix time. A new incarnation
+/// starts after it, so its revisions exceed those that clients of an earlier incarnation have seen. The seconds are the
+/// upper 32 bits; the lower 32 bits count the changes within the incarnation.
+pub fn revision_floor(unix_s: u64) -> Rev {
     unix_s << 32
 }
 
-/// What the list says of an instance.
+/// The lifecycle state of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum State {
-    /// It takes requests.
+    /// It accepts new requests.
     Ready,
-    /// It finishes what it has.
+    /// It is draining: it completes its current requests and accepts no new ones.
     Terminating,
-    /// It has left; stands among changes only.
+    /// It has left the list; occurs only in changes.
     Gone,
 }
 
-/// What an instance says of itself.
+/// The registration data of an instance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Instance {
-    /// Its name, unique on the list.
+    /// The name, unique on the list.
     pub uid: String,
-    /// Where it listens.
+    /// The address it listens on.
     pub endpoint: SocketAddr,
-    /// Its zone.
+    /// The zone it runs in.
     pub zone: String,
-    /// Its machine kind.
+    /// The machine type it runs on.
     pub kind: String,
-    /// The group whose members share the keys that they have seen.
+    /// The group of instances that share the idempotency keys they have seen.
     pub group: u64,
-    /// Its size against the others'.
+    /// The capacity relative to other instances.
     pub capacity: f64,
-    /// The Unix time of its process's start in milliseconds, by its own clock; tells one life from the next.
+    /// The start time of the process, in Unix milliseconds of its own clock; distinguishes successive processes of the
+    /// same name.
     pub boot_ms: u64,
 }
 
-/// A line of the list.
+/// An entry of the list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Line {
     /// The instance.
     pub instance: Instance,
-    /// What it may take.
+    /// The lifecycle state.
     pub state: State,
-    /// Its lease has lapsed together with too many others: it is held on the list, and not believed gone yet.
+    /// Whether its lease has expired together with too many others: it stays on the list until it renews, an operator
+    /// decides, or the hold time is over.
     pub suspect: bool,
-    /// The version in which this line last changed.
+    /// The revision in which this line last changed.
     pub rev: Rev,
 }
 
-/// What is done to the list.
+/// A command of the replicated log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// An instance comes, or comes again: under its name with a later start it is a new life.
+    /// Registers an instance, or registers it again. A later start time under the same name replaces the earlier process.
     Register(Instance),
-    /// It finishes what it has. The start tells which life is meant.
+    /// Starts draining the instance with this name and start time.
     Drain {
-        /// Its name.
+        /// The name.
         uid: String,
-        /// Its life.
+        /// The start time.
         boot_ms: u64,
     },
-    /// It has left by itself, or its lease has lapsed and is believed to have.
+    /// Removes an instance, which has left by itself or whose lease has expired.
     Leave {
-        /// Its name.
+        /// The name.
         uid: String,
-        /// Its life.
+        /// The start time.
         boot_ms: u64,
     },
-    /// Leases have lapsed, more than are believed at once: the lines are held.
+    /// Marks instances as suspects: too many leases have expired at once to treat the instances as failed.
     Suspect(Vec<(String, u64)>),
-    /// They have renewed after all, or a person says that they live.
+    /// Clears the suspect mark of instances that have renewed, or that an operator has declared alive.
     Clear(Vec<(String, u64)>),
-    /// The first of a new registry: its versions begin past what clients of an earlier one may have seen.
+    /// Starts the first incarnation of a new registry.
     Begin {
-        /// See [`past_all_before`].
+        /// The revision floor, see [`revision_floor`].
         past: Rev,
     },
-    /// A part of a backup. The last one puts the backup in place of the list.
+    /// Stages a part of a backup. The last part replaces the list by the backup.
     Restore {
-        /// Which part, from 0.
+        /// The index of the part, from 0.
         part: u32,
-        /// How many there are.
+        /// The number of parts.
         parts: u32,
-        /// Its lines.
+        /// The lines of the part.
         lines: Vec<Line>,
-        /// See [`past_all_before`].
+        /// The revision floor, see [`revision_floor`].
         past: Rev,
     },
 }
 
 /// Why a command changed nothing.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum Refused {
-    /// A name is empty or too long, or holds what is not printed.
-    #[error("{field}: 1 to {MOST_NAME} printable characters are wanted")]
-    Name {
-        /// Which one.
+pub enum ListError {
+    /// A name is empty, too long or contains control characters.
+    #[error("{field}: must have 1 to {MAX_NAME_BYTES} bytes and no control characters")]
+    InvalidName {
+        /// The field.
         field: &'static str,
     },
-    /// A size is none.
-    #[error("capacity: a finite number above 0 is wanted")]
-    Capacity,
-    /// The list is full.
-    #[error("the list is full: {MOST_INSTANCES} instances")]
+    /// The capacity is not a positive number.
+    #[error("capacity: must be a finite number greater than 0")]
+    InvalidCapacity,
+    /// The list has its maximum size.
+    #[error("the list is full: at most {MAX_INSTANCES} instances")]
     Full,
-    /// An earlier life of an instance that has started again since.
-    #[error("{uid} has started again since, at {boot_ms}")]
-    Outlived {
-        /// Its name.
+    /// The command refers to a process that is not the one on the list.
+    #[error("{uid} is on the list with another start time: {boot_ms}")]
+    StartTimeMismatch {
+        /// The name.
         uid: String,
-        /// The start of the life that the list knows.
+        /// The start time of the process that is on the list.
         boot_ms: u64,
     },
-    /// The same life with another endpoint, zone, kind or group.
-    #[error("{uid} is on the list with another {field}, of the same start: two processes have one name")]
-    Twice {
-        /// Its name.
+    /// An instance with the same name and start time differs in its endpoint, zone, kind or group.
+    #[error(
+        "{uid} is on the list with the same start time but another {field}: two processes have the same name"
+    )]
+    DuplicateName {
+        /// The name.
         uid: String,
-        /// What differs.
+        /// The field that differs.
         field: &'static str,
     },
-    /// A part of a backup that is none, or not the next one.
+    /// A part of a backup is invalid or out of order.
     #[error(
-        "part {part} of {parts} of a backup, with {lines} lines, is not the next one: begin again with part 0"
+        "part {part} of {parts} of a backup, with {lines} lines, is too large or out of order: restart with part 0"
     )]
-    Part {
-        /// Which one.
+    UnexpectedPart {
+        /// The index of the part.
         part: u32,
-        /// Of how many.
+        /// The number of parts.
         parts: u32,
-        /// Its lines.
+        /// The number of lines.
         lines: usize,
     },
-    /// It is not on the list.
+    /// The instance is not on the list.
     #[error("{uid} is not on the list")]
-    Unknown {
-        /// Its name.
+    NotFound {
+        /// The name.
         uid: String,
     },
 }
 
-/// What a watcher is told.
+/// The full list, or the changes since a revision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Told {
-    /// The version that the watcher has then.
+pub struct ListUpdate {
+    /// The revision of the list after the update.
     pub rev: Rev,
-    /// Whether this is the whole list: who is missing has gone.
+    /// Whether this is the full list: instances that are missing have left.
     pub all: bool,
     /// The lines.
     pub lines: Vec<Line>,
 }
 
-/// The list.
+/// The instance list.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct List {
-    /// Raised by each restore: versions of two incarnations say nothing of each other.
+    /// Increases with each restore. Revisions of different incarnations can't be compared.
     incarnation: u64,
     rev: Rev,
     lines: BTreeMap<String, Line>,
-    /// The last changes, the oldest first, each with its version.
+    /// The last changes, oldest first, each with its revision.
     history: VecDeque<Line>,
-    /// The version from which on the history holds every change.
+    /// The oldest revision since which the history is complete.
     reaches: Rev,
-    /// The parts of a backup that have come so far, and how many they are.
+    /// The number of parts of a backup that are staged, and their lines.
     #[serde(default)]
     staged: (u32, Vec<Line>),
 }
 
-fn name(field: &'static str, text: &str) -> Result<(), Refused> {
-    let fits = !text.is_empty() && text.len() <= MOST_NAME && !text.chars().any(char::is_control);
-    if fits { Ok(()) } else { Err(Refused::Name { field }) }
+fn check_name(field: &'static str, text: &str) -> Result<(), ListError> {
+    let valid = !text.is_empty() && text.len() <= MAX_NAME_BYTES && !text.chars().any(char::is_control);
+    if valid { Ok(()) } else { Err(ListError::InvalidName { field }) }
 }
 
 impl Instance {
-    /// Whether it can stand on a list.
-    pub fn check(&self) -> Result<(), Refused> {
-        name("uid", &self.uid)?;
-        name("zone", &self.zone)?;
-        name("kind", &self.kind)?;
-        let sized = self.capacity.is_finite() && self.capacity > 0.0;
-        if sized { Ok(()) } else { Err(Refused::Capacity) }
+    /// Validates the registration data.
+    pub fn check(&self) -> Result<(), ListError> {
+        check_name("uid", &self.uid)?;
+        check_name("zone", &self.zone)?;
+        check_name("kind", &self.kind)?;
+        let valid = self.capacity.is_finite() && self.capacity > 0.0;
+        if valid { Ok(()) } else { Err(ListError::InvalidCapacity) }
     }
 }
 
 impl List {
-    /// The version.
+    /// Returns the current revision.
     pub fn rev(&self) -> Rev {
         self.rev
     }
 
-    /// Which incarnation this is.
+    /// Returns the incarnation, 0 if the registry is not initialized.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// The lines, by name.
+    /// Returns the lines, ordered by name.
     pub fn lines(&self) -> impl Iterator<Item = &Line> {
         self.lines.values()
     }
 
-    /// One line.
+    /// Returns the line of an instance.
     pub fn line(&self, uid: &str) -> Option<&Line> {
         self.lines.get(uid)
     }
 
-    /// Carries a command out. The version rises if, and only if, anything changed: then it is told.
-    pub fn apply(&mut self, command: &Command) -> Result<Option<Rev>, Refused> {
+    /// Applies a command. Returns the new revision if the command changed the list.
+    pub fn apply(&mut self, command: &Command) -> Result<Option<Rev>, ListError> {
         match command {
             Command::Register(instance) => self.register(instance),
-            Command::Drain { uid, boot_ms } => self.change(uid, *boot_ms, |line| {
+            Command::Drain { uid, boot_ms } => self.modify(uid, *boot_ms, |line| {
                 if line.state == State::Ready {
                     line.state = State::Terminating;
                 }
             }),
-            Command::Leave { uid, boot_ms } => self.change(uid, *boot_ms, |line| line.state = State::Gone),
-            Command::Suspect(lives) => Ok(self.mark(lives, true)),
-            Command::Clear(lives) => Ok(self.mark(lives, false)),
-            Command::Begin { past } => Ok((self.incarnation == 0).then(|| self.begin_anew(*past))),
+            Command::Leave { uid, boot_ms } => self.modify(uid, *boot_ms, |line| line.state = State::Gone),
+            Command::Suspect(keys) => Ok(self.set_suspect(keys, true)),
+            Command::Clear(keys) => Ok(self.set_suspect(keys, false)),
+            Command::Begin { past } => Ok((self.incarnation == 0).then(|| self.start_incarnation(*past))),
             Command::Restore { part, parts, lines, past } => self.restore(*part, *parts, lines, *past),
         }
     }
 
-    /// What a watcher has to be told that has this version; none if it has the newest. One from a version that
-    /// this list has not reached, or that the history no longer reaches, gets the whole list.
-    pub fn since(&self, from: Rev) -> Option<Told> {
+    /// Returns the update for a watcher at revision `from`, or `None` if that is the current one. The update is the full
+    /// list if `from` is unknown to this list or older than the history.
+    pub fn changes_since(&self, from: Rev) -> Option<ListUpdate> {
         if from == self.rev {
             return None;
         }
         if from > self.rev || from < self.reaches {
-            return Some(self.whole());
+            return Some(self.full());
         }
-        // Of several changes of one line the last one counts.
+        // Only the last change of each line is sent.
         let mut last: BTreeMap<&str, &Line> = BTreeMap::new();
         for line in self.history.iter().rev().take_while(|line| line.rev > from) {
             last.entry(&line.instance.uid).or_insert(line);
         }
-        Some(Told { rev: self.rev, all: false, lines: last.into_values().cloned().collect() })
+        Some(ListUpdate { rev: self.rev, all: false, lines: last.into_values().cloned().collect() })
     }
 
-    /// For a watcher that has the newest version.
-    pub fn nothing_new(&self) -> Told {
-        Told { rev: self.rev, all: false, lines: Vec::new() }
+    /// Returns the empty update for a watcher at the current revision.
+    pub fn no_changes(&self) -> ListUpdate {
+        ListUpdate { rev: self.rev, all: false, lines: Vec::new() }
     }
 
-    /// The whole list.
-    pub fn whole(&self) -> Told {
-        Told { rev: self.rev, all: true, lines: self.lines.values().cloned().collect() }
+    /// Returns the full list.
+    pub fn full(&self) -> ListUpdate {
+        ListUpdate { rev: self.rev, all: true, lines: self.lines.values().cloned().collect() }
     }
 
-    /// The list as a restore brings it back: a new incarnation, whose version is past `seen`, the newest that any
-    /// client is known to have.
+    /// Returns the list as a new incarnation, whose revision is greater than `seen`, the newest that any client is known
+    /// to have.
     pub fn restored(mut self, seen: Rev) -> Self {
-        self.begin_anew(seen);
+        self.start_incarnation(seen);
         self
     }
 
-    fn begin_anew(&mut self, past: Rev) -> Rev {
-        // The second in it tells apart two restores of one backup as well.
+    fn start_incarnation(&mut self, past: Rev) -> Rev {
+        // Also derived from the time, so that it is new even if the previous incarnation is unknown, as in a restore into
+        // empty stores.
         self.incarnation = (self.incarnation + 1).max(past >> 32);
         self.rev = self.rev.max(past) + 1;
         self.history.clear();
@@ -282,18 +288,24 @@
         self.rev
     }
 
-    fn restore(&mut self, part: u32, parts: u32, lines: &[Line], past: Rev) -> Result<Option<Rev>, Refused> {
+    fn restore(
+        &mut self,
+        part: u32,
+        parts: u32,
+        lines: &[Line],
+        past: Rev,
+    ) -> Result<Option<Rev>, ListError> {
         if part == 0 {
             self.staged = Default::default();
         }
-        let refused = Refused::Part { part, parts, lines: lines.len() };
+        let error = ListError::UnexpectedPart { part, parts, lines: lines.len() };
         if part != self.staged.0 || part >= parts || lines.len() > MAX_PART_LINES {
-            return Err(refused);
+            return Err(error);
         }
         lines.iter().try_for_each(|line| line.instance.check())?;
-        if self.staged.1.len() + lines.len() > MOST_INSTANCES {
+        if self.staged.1.len() + lines.len() > MAX_INSTANCES {
             self.staged = Default::default();
-            return Err(Refused::Full);
+            return Err(ListError::Full);
         }
         self.staged.0 += 1;
         self.staged.1.extend_from_slice(lines);
@@ -301,33 +313,36 @@
             return Ok(None);
         }
         let (_, lines) = std::mem::take(&mut self.staged);
-        // Whoever was a suspect then gets a full lease now, as all do.
+        // Suspect marks are dropped, because every instance gets a new lease.
         let lines = lines.into_iter().filter(|line| line.state != State::Gone);
         self.lines = lines.map(|line| (line.instance.uid.clone(), Line { suspect: false, ..line })).collect();
-        Ok(Some(self.begin_anew(past)))
+        Ok(Some(self.start_incarnation(past)))
     }
 
-    fn register(&mut self, instance: &Instance) -> Result<Option<Rev>, Refused> {
+    fn register(&mut self, instance: &Instance) -> Result<Option<Rev>, ListError> {
         instance.check()?;
         let uid = &instance.uid;
         match self.lines.get(uid) {
-            None if self.lines.len() >= MOST_INSTANCES => return Err(Refused::Full),
+            None if self.lines.len() >= MAX_INSTANCES => return Err(ListError::Full),
             Some(line) if line.instance.boot_ms > instance.boot_ms => {
-                return Err(Refused::Outlived { uid: uid.clone(), boot_ms: line.instance.boot_ms });
+                return Err(ListError::StartTimeMismatch {
+                    uid: uid.clone(),
+                    boot_ms: line.instance.boot_ms,
+                });
             }
             Some(line) if line.instance.boot_ms == instance.boot_ms => {
-                let known = &line.instance;
+                let registered = &line.instance;
                 let differs = [
-                    ("endpoint", known.endpoint != instance.endpoint),
-                    ("zone", known.zone != instance.zone),
-                    ("kind", known.kind != instance.kind),
-                    ("group", known.group != instance.group),
+                    ("endpoint", registered.endpoint != instance.endpoint),
+                    ("zone", registered.zone != instance.zone),
+                    ("kind", registered.kind != instance.kind),
+                    ("group", registered.group != instance.group),
                 ];
                 if let Some((field, _)) = differs.into_iter().find(|(_, differs)| *differs) {
-                    return Err(Refused::Twice { uid: uid.clone(), field });
+                    return Err(ListError::DuplicateName { uid: uid.clone(), field });
                 }
-                // A registration that is repeated, as when its answer was lost, changes nothing.
-                if known.capacity == instance.capacity && !line.suspect {
+                // A retried registration changes nothing.
+                if registered.capacity == instance.capacity && !line.suspect {
                     return Ok(None);
                 }
             }
@@ -337,42 +352,42 @@
             Some(line) if line.instance.boot_ms == instance.boot_ms => line.state,
             _ => State::Ready,
         };
-        Ok(Some(self.put(Line { instance: instance.clone(), state, suspect: false, rev: 0 })))
+        Ok(Some(self.record_change(Line { instance: instance.clone(), state, suspect: false, rev: 0 })))
     }
 
-    fn change(
+    fn modify(
         &mut self,
         uid: &str,
         boot_ms: u64,
-        change: impl FnOnce(&mut Line),
-    ) -> Result<Option<Rev>, Refused> {
-        let Some(line) = self.lines.get(uid) else { return Err(Refused::Unknown { uid: uid.to_owned() }) };
+        modify: impl FnOnce(&mut Line),
+    ) -> Result<Option<Rev>, ListError> {
+        let Some(line) = self.lines.get(uid) else { return Err(ListError::NotFound { uid: uid.to_owned() }) };
         if line.instance.boot_ms != boot_ms {
             let boot_ms = line.instance.boot_ms;
-            return Err(Refused::Outlived { uid: uid.to_owned(), boot_ms });
+            return Err(ListError::StartTimeMismatch { uid: uid.to_owned(), boot_ms });
         }
         let mut changed = line.clone();
-        change(&mut changed);
-        if changed == *line { Ok(None) } else { Ok(Some(self.put(changed))) }
+        modify(&mut changed);
+        if changed == *line { Ok(None) } else { Ok(Some(self.record_change(changed))) }
     }
 
-    /// Marks those of these lives that the list still has; the others have left or started again meanwhile.
-    fn mark(&mut self, lives: &[(String, u64)], suspect: bool) -> Option<Rev> {
+    /// Sets or clears the suspect mark. Instances that have left or restarted since are skipped.
+    fn set_suspect(&mut self, keys: &[(String, u64)], suspect: bool) -> Option<Rev> {
         let mut last = None;
-        for (uid, boot_ms) in lives {
+        for (uid, boot_ms) in keys {
             let line = self.lines.get(uid);
             let line = line.filter(|line| line.instance.boot_ms == *boot_ms && line.suspect != suspect);
             if let Some(line) = line.cloned() {
-                last = Some(self.put(Line { suspect, ..line }));
+                last = Some(self.record_change(Line { suspect, ..line }));
             }
         }
         last
     }
 
-    fn put(&mut self, mut line: Line) -> Rev {
+    fn record_change(&mut self, mut line: Line) -> Rev {
         self.rev += 1;
         line.rev = self.rev;
-        if self.history.len() == HISTORY
+        if self.history.len() == MAX_HISTORY
             && let Some(oldest) = self.history.pop_front()
         {
             self.reaches = oldest.rev;
--- a/registry/src/raft.rs
+++ b/registry/src/raft.rs
@@ -5,7 +5,7 @@
 use openraft::impls::{OneshotResponder, TokioRuntime};
 use serde::{Deserialize, Serialize};
 
-use crate::list::{Command, Refused, Rev};
+use crate::list::{Command, ListError, Rev};
 use crate::state_machine::State;
 
 /// A replica's name: drawn when its store is made, so that one that has lost its store is another replica. A vote that
@@ -42,15 +42,17 @@
     },
 }
 
-impl From<Refused> for Applied {
-    fn from(refused: Refused) -> Self {
-        let status = match &refused {
-            Refused::Name { .. } | Refused::Capacity => 400,
-            Refused::Unknown { .. } => 404,
-            Refused::Outlived { .. } | Refused::Twice { .. } | Refused::Part { .. } => 409,
-            Refused::Full => 507,
+impl From<ListError> for Applied {
+    fn from(error: ListError) -> Self {
+        let status = match &error {
+            ListError::InvalidName { .. } | ListError::InvalidCapacity => 400,
+            ListError::NotFound { .. } => 404,
+            ListError::StartTimeMismatch { .. }
+            | ListError::DuplicateName { .. }
+            | ListError::UnexpectedPart { .. } => 409,
+            ListError::Full => 507,
         };
-        Self::Refused { status, text: refused.to_string() }
+        Self::Refused { status, text: error.to_string() }
     }
 }
 
--- a/registry/src/replica/forward.rs
+++ b/registry/src/replica/forward.rs
@@ -13,7 +13,7 @@
 
 use super::{CONFIRM_EACH, DO, MOST_LIVES, Operation, Renewing, Replica, SOON, Trouble};
 use crate::raft::{Place, ReplicaId};
-use crate::wire::{ErrorBody, Renewal, Renewed};
+use crate::wire::{ErrorBody, Renewal, RenewalResponse};
 
 /// A replica that leads answers another one by then; a command's own time is in it.
 const FORWARD: Duration = Duration::from_secs(4);
@@ -53,7 +53,7 @@
             // The next ones need not wait for the answer to these.
             tokio::spawn(async move {
                 let operation = Operation::Renew(Renewal { lives });
-                let renewed: Result<Renewed, Trouble> = match own.leader() {
+                let renewed: Result<RenewalResponse, Trouble> = match own.leader() {
                     Some((leader, place)) if leader != own.id => {
                         let _one_of_few = own.sent_on.acquire().await;
                         own.ask(place.peer, Some(leader), DO, &operation, FORWARD).await
@@ -63,7 +63,7 @@
                 for (lives, told) in parts {
                     // Whoever asked may have gone.
                     let _ = told.send(renewed.clone().map(|renewed| {
-                        Renewed {
+                        RenewalResponse {
                             unknown: lives
                                 .into_iter()
                                 .map(|life| life.uid)
--- a/registry/src/replica/leadership.rs
+++ b/registry/src/replica/leadership.rs
@@ -10,8 +10,8 @@
 
 use super::{Office, Replica, Trouble, lock, unix_s};
 use crate::leases::Leases;
-use crate::list::{Command, past_all_before};
-use crate::wire::{InstanceKey, Renewal, Renewed, SuspectDecision};
+use crate::list::{Command, revision_floor};
+use crate::wire::{InstanceKey, Renewal, RenewalResponse, SuspectDecision};
 
 impl Replica {
     pub(super) fn now(&self) -> u64 {
@@ -84,7 +84,7 @@
             return;
         }
         if self.shared.read().list.incarnation() == 0 {
-            let past = past_all_before(unix_s());
+            let past = revision_floor(unix_s());
             if let Err(trouble) = self.write_any(Command::Begin { past }).await {
                 tracing::warn!(cause = trouble.text, "the list can't be begun");
                 return;
@@ -142,7 +142,7 @@
         if !cleared.is_empty() {
             self.write(Command::Clear(cleared)).await?;
         }
-        serde_json::to_value(Renewed { lease_ms: self.settings.lease_ms, unknown })
+        serde_json::to_value(RenewalResponse { lease_ms: self.settings.lease_ms, unknown })
             .map_err(|error| Trouble::refused(500, error.to_string()))
     }
 
--- a/registry/src/replica/mod.rs
+++ b/registry/src/replica/mod.rs
@@ -22,7 +22,7 @@
 use tokio::time::{Instant, timeout};
 
 use crate::leases::Leases;
-use crate::list::{Command, Instance, Rev, past_all_before};
+use crate::list::{Command, Instance, Rev, revision_floor};
 use crate::metrics::Figures;
 use crate::peers::Peers;
 use crate::raft::{Applied, Place, Raft, ReplicaId};
@@ -30,7 +30,9 @@
 use crate::settings::Settings;
 use crate::state_machine::{Machine, Shared};
 use crate::store::{Store, StoreError};
-use crate::wire::{Backup, BackupPart, InstanceKey, Renewal, Renewed, ReplicaChange, SuspectDecision};
+use crate::wire::{
+    Backup, BackupPart, InstanceKey, Renewal, RenewalResponse, ReplicaChange, SuspectDecision,
+};
 
 /// Commands, confirmations or renewals that wait.
 const MOST_WAITING: usize = 4096;
@@ -142,7 +144,7 @@
 }
 
 type Confirmation = oneshot::Sender<Result<Confirmed, Trouble>>;
-type Renewing = (Renewal, oneshot::Sender<Result<Renewed, Trouble>>);
+type Renewing = (Renewal, oneshot::Sender<Result<RenewalResponse, Trouble>>);
 type Write = (Command, oneshot::Sender<Result<Applied, Trouble>>);
 
 /// Why a replica can't start.
@@ -380,7 +382,7 @@
             Operation::Renew(renewal) => self.renew(renewal).await,
             Operation::Decide(decision) => self.decide(decision).await,
             Operation::Restore(BackupPart { part, parts, lines }) => {
-                let past = past_all_before(unix_s());
+                let past = revision_floor(unix_s());
                 self.write(Command::Restore { part, parts, lines, past }).await.map(rev)
             }
             Operation::Confirm => {
--- a/registry/src/response_cache.rs
+++ b/registry/src/response_cache.rs
@@ -43,10 +43,10 @@
             return answer.clone();
         }
         let told = match from {
-            None => list.whole(),
-            Some(from) => list.since(from).unwrap_or_else(|| list.nothing_new()),
+            None => list.full(),
+            Some(from) => list.changes_since(from).unwrap_or_else(|| list.no_changes()),
         };
-        let listing = Listing::of(&told, list.incarnation());
+        let listing = Listing::new(&told, list.incarnation());
         drop(state);
         // Plain fields, which always can be written.
         let answer = Bytes::from(serde_json::to_vec(&listing).unwrap_or_default());
--- a/registry/src/settings.rs
+++ b/registry/src/settings.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::leases::Rules;
-use crate::list::MOST_NAME;
+use crate::list::MAX_NAME_BYTES;
 use crate::raft::Place;
 
 /// What a replica is told at its start.
@@ -95,8 +95,8 @@
         let wanted = |fits: bool, key: &'static str, text: String| {
             if fits { Ok(()) } else { Err(ValidationError { key: key.to_owned(), text }) }
         };
-        let named = !self.fleet.is_empty() && self.fleet.len() <= MOST_NAME && self.fleet.is_ascii();
-        wanted(named, "fleet", format!("1 to {MOST_NAME} ASCII characters are wanted"))?;
+        let named = !self.fleet.is_empty() && self.fleet.len() <= MAX_NAME_BYTES && self.fleet.is_ascii();
+        wanted(named, "fleet", format!("1 to {MAX_NAME_BYTES} ASCII characters are wanted"))?;
         let own = self.place();
         let replicas = &self.replicas;
         let (odd, few) = (replicas.len() % 2 == 1, replicas.len() <= MAX_REPLICAS);
--- a/registry/src/wire.rs
+++ b/registry/src/wire.rs
@@ -1,44 +1,44 @@
-//! What goes between the registry and its clients: the list in the form of the protocol page, and a few plain calls.
+//! JSON messages between the registry and its clients.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-use crate::list::{Instance, Line, State, Told};
+use crate::list::{Instance, Line, ListUpdate, State};
 
-/// A line of the list, and what an instance registers with.
+/// An instance on the list, and the body of a registration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
-    /// Its name.
+    /// The instance's unique name.
     pub uid: String,
-    /// Where it listens.
+    /// The address it listens on.
     pub endpoint: SocketAddr,
-    /// Its zone.
+    /// The zone it runs in.
     pub az: String,
-    /// Its machine kind.
+    /// The machine type it runs on.
     pub model: String,
-    /// The group whose members share the keys that they have seen.
+    /// The group of instances that share the idempotency keys they have seen.
     #[serde(default)]
     pub pod_group: u64,
-    /// What it may take; not looked at in a registration.
-    #[serde(default = "ready")]
+    /// The lifecycle state; ignored in a registration.
+    #[serde(default = "default_state")]
     pub state: State,
-    /// Its size against the others'.
-    #[serde(default = "one")]
+    /// The capacity relative to other instances.
+    #[serde(default = "default_capacity")]
     pub capacity_hint: f64,
-    /// The Unix time of its process's start in milliseconds, by its own clock.
+    /// The start time of the process, in Unix milliseconds of its own clock.
     pub boot_ms: u64,
-    /// Its lease has lapsed together with too many others.
+    /// Whether the lease has expired together with too many others to be trusted as a failure.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub suspect: bool,
 }
 
-fn ready() -> State {
+fn default_state() -> State {
     State::Ready
 }
 
-fn one() -> f64 {
+fn default_capacity() -> f64 {
     1.0
 }
 
@@ -73,121 +73,121 @@
     }
 }
 
-/// The list, or what has changed on it.
+/// The full list, or the changes since a revision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Listing {
-    /// The version.
+    /// The revision of the list.
     pub rev: u64,
-    /// Whether this is the whole list.
+    /// Whether this is the full list, as opposed to changes.
     pub all: bool,
-    /// The lines.
+    /// The instances.
     pub targets: Vec<Target>,
-    /// The registry's incarnation: raised by a restore.
+    /// The registry's incarnation, which increases with every restore.
     pub incarnation: u64,
 }
 
 impl Listing {
-    /// What a watcher is told.
-    pub fn of(told: &Told, incarnation: u64) -> Self {
-        let targets = told.lines.iter().map(Target::from).collect();
-        Self { rev: told.rev, all: told.all, targets, incarnation }
+    /// Creates the message for an update.
+    pub fn new(update: &ListUpdate, incarnation: u64) -> Self {
+        let targets = update.lines.iter().map(Target::from).collect();
+        Self { rev: update.rev, all: update.all, targets, incarnation }
     }
 }
 
-/// A life: an instance by its name and its start.
+/// Identifies one process of an instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct InstanceKey {
-    /// Its name.
+    /// The instance's name.
     pub uid: String,
-    /// Its start.
+    /// The start time of the process, in Unix milliseconds.
     pub boot_ms: u64,
 }
 
-/// Lives that renew their leases: one, or those of a whole machine.
+/// Renews the leases of one or more instances.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Renewal {
-    /// They.
+    /// The instances.
     pub lives: Vec<InstanceKey>,
 }
 
-/// What a renewal came to.
+/// The response to a renewal.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Renewed {
-    /// A lease lasts so long from now.
+pub struct RenewalResponse {
+    /// The duration of a lease, in milliseconds from now.
     pub lease_ms: u64,
-    /// Who is not on the list with this start, and has to register.
+    /// Names of instances that are not on the list with the given start time, and must register.
     pub unknown: Vec<String>,
 }
 
-/// A person's word on a zone's suspects.
+/// An operator's decision on the suspects of a zone.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SuspectDecision {
     /// The zone.
     pub zone: String,
-    /// Whether they live.
+    /// Whether the suspects are alive.
     pub alive: bool,
 }
 
-/// A change of the replicas, which are named by their peer addresses.
+/// A change of the replicas, which are identified by their peer addresses.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub enum ReplicaChange {
-    /// One comes.
+    /// Adds a replica.
     Add(SocketAddr),
-    /// One goes.
+    /// Removes a replica.
     Remove(SocketAddr),
-    /// One takes the lead.
+    /// Transfers leadership to a replica.
     Lead(SocketAddr),
 }
 
-/// A backup: the list as one file.
+/// A backup of the list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Backup {
-    /// [`Backup::FORMAT`].
+    /// The format version, see [`Backup::FORMAT`].
     pub format: u32,
-    /// Whose it is.
+    /// The name of the fleet.
     pub fleet: String,
-    /// The incarnation that it was taken from.
+    /// The incarnation of the list.
     pub incarnation: u64,
-    /// The version that it has.
+    /// The revision of the list.
     pub rev: u64,
-    /// The lines.
+    /// The lines of the list.
     pub lines: Vec<Line>,
 }
 
 impl Backup {
-    /// The form of backups that this program writes and reads.
+    /// The format version that this program writes and reads.
     pub const FORMAT: u32 = 1;
 }
 
-/// A part of a backup on its way back.
+/// A part of a backup that is being restored.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BackupPart {
-    /// Which part, from 0.
+    /// The index of the part, from 0.
     pub part: u32,
-    /// How many there are.
+    /// The number of parts.
     pub parts: u32,
-    /// Its lines.
+    /// The lines of the part.
     pub lines: Vec<Line>,
 }
 
-/// What was refused, and why.
+/// The body of an error response.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// The reason.
+    /// The error message.
     pub error: String,
 }
 
 impl ErrorBody {
-    /// The reason that a body tells; one that is none of ours is the reason itself.
+    /// Returns the message of an error response; a body in another format is returned as it is.
     pub fn message(body: &[u8]) -> String {
         match serde_json::from_slice::<Self>(body) {
-            Ok(refusal) => refusal.error,
+            Ok(parsed) => parsed.error,
             Err(_) => String::from_utf8_lossy(body).into_owned(),
         }
     }
--- a/registry/tests/list.rs
+++ b/registry/tests/list.rs
@@ -1,4 +1,4 @@
-//! The list and its versions, case by case and under any sequence of commands.
+//! Tests of the instance list: single cases, and properties that hold for any sequence of commands.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 fn instance(uid: &str, boot_ms: u64) -> Instance {
     Instance {
         uid: uid.to_owned(),
-        endpoint: "127.0.0.1:9000".parse().expect("an address"),
+        endpoint: "127.0.0.1:9000".parse().expect("valid address"),
         zone: "a".to_owned(),
         kind: "k".to_owned(),
         group: 0,
@@ -21,7 +21,7 @@
     Command::Register(instance(uid, boot_ms))
 }
 
-fn named(uid: &str, boot_ms: u64) -> (String, u64) {
+fn key(uid: &str, boot_ms: u64) -> (String, u64) {
     (uid.to_owned(), boot_ms)
 }
 
@@ -34,128 +34,131 @@
 }
 
 #[test]
-fn an_instance_comes_drains_and_leaves_and_each_change_is_one_version() {
+fn each_change_of_an_instance_increments_the_revision_by_one() {
     let mut list = List::default();
     assert_eq!(list.apply(&register("s0", 5)), Ok(Some(1)));
-    assert_eq!(list.apply(&register("s0", 5)), Ok(None), "its answer was lost, so it came twice");
+    assert_eq!(list.apply(&register("s0", 5)), Ok(None), "a retried registration changes nothing");
     assert_eq!(list.apply(&drain("s0", 5)), Ok(Some(2)));
     assert_eq!(list.apply(&drain("s0", 5)), Ok(None));
-    assert_eq!(list.apply(&register("s0", 5)), Ok(None), "it goes on draining");
+    assert_eq!(list.apply(&register("s0", 5)), Ok(None), "the instance stays draining");
     assert_eq!(list.line("s0").map(|line| line.state), Some(State::Terminating));
     assert_eq!(list.apply(&leave("s0", 5)), Ok(Some(3)));
-    assert_eq!(list.apply(&leave("s0", 5)), Err(Refused::Unknown { uid: "s0".into() }));
-    let told = list.since(2).expect("news");
-    assert_eq!((told.rev, told.all, told.lines[0].state), (3, false, State::Gone));
-    assert_eq!(list.since(3), None);
-    assert!(list.whole().lines.is_empty());
+    assert_eq!(list.apply(&leave("s0", 5)), Err(ListError::NotFound { uid: "s0".into() }));
+    let update = list.changes_since(2).expect("an update");
+    assert_eq!((update.rev, update.all, update.lines[0].state), (3, false, State::Gone));
+    assert_eq!(list.changes_since(3), None);
+    assert!(list.full().lines.is_empty());
 }
 
 #[test]
-fn an_earlier_life_changes_nothing_and_a_later_one_starts_anew() {
+fn commands_of_an_earlier_process_are_rejected_and_a_later_process_replaces_it() {
     let mut list = List::default();
-    list.apply(&register("s0", 5)).expect("taken");
-    list.apply(&drain("s0", 5)).expect("taken");
+    list.apply(&register("s0", 5)).expect("command is applied");
+    list.apply(&drain("s0", 5)).expect("command is applied");
     assert_eq!(list.apply(&register("s0", 9)), Ok(Some(3)));
     assert_eq!(list.line("s0").map(|line| line.state), Some(State::Ready));
-    let outlived = Err(Refused::Outlived { uid: "s0".into(), boot_ms: 9 });
-    assert_eq!(list.apply(&register("s0", 5)), outlived);
-    assert_eq!(list.apply(&leave("s0", 5)), outlived);
+    let mismatch = Err(ListError::StartTimeMismatch { uid: "s0".into(), boot_ms: 9 });
+    assert_eq!(list.apply(&register("s0", 5)), mismatch);
+    assert_eq!(list.apply(&leave("s0", 5)), mismatch);
     assert_eq!(list.rev(), 3);
 }
 
 #[test]
-fn two_processes_of_one_name_are_told_so_and_the_first_stays() {
+fn a_second_process_of_the_same_name_is_rejected_and_the_first_is_kept() {
     let mut list = List::default();
-    list.apply(&register("s0", 5)).expect("taken");
-    let other = Instance { endpoint: "127.0.0.1:9001".parse().expect("an address"), ..instance("s0", 5) };
-    let refused = list.apply(&Command::Register(other));
-    assert_eq!(refused, Err(Refused::Twice { uid: "s0".into(), field: "endpoint" }));
+    list.apply(&register("s0", 5)).expect("command is applied");
+    let other = Instance { endpoint: "127.0.0.1:9001".parse().expect("valid address"), ..instance("s0", 5) };
+    let error = list.apply(&Command::Register(other));
+    assert_eq!(error, Err(ListError::DuplicateName { uid: "s0".into(), field: "endpoint" }));
     assert_eq!(list.line("s0").map(|line| line.instance.endpoint.port()), Some(9000));
 }
 
 #[test]
-fn rubbish_is_refused_with_its_reason_and_changes_nothing() {
+fn an_invalid_registration_is_rejected_with_the_field_name_and_changes_nothing() {
     let mut list = List::default();
-    let good = instance("s0", 5);
-    for (bad, field) in [
-        (Instance { uid: String::new(), ..good.clone() }, "uid"),
-        (Instance { zone: "z".repeat(MOST_NAME + 1), ..good.clone() }, "zone"),
-        (Instance { kind: "a\nb".into(), ..good.clone() }, "kind"),
-        (Instance { capacity: f64::NAN, ..good.clone() }, "capacity"),
-        (Instance { capacity: 0.0, ..good.clone() }, "capacity"),
+    let valid = instance("s0", 5);
+    for (invalid, field) in [
+        (Instance { uid: String::new(), ..valid.clone() }, "uid"),
+        (Instance { zone: "z".repeat(MAX_NAME_BYTES + 1), ..valid.clone() }, "zone"),
+        (Instance { kind: "a\nb".into(), ..valid.clone() }, "kind"),
+        (Instance { capacity: f64::NAN, ..valid.clone() }, "capacity"),
+        (Instance { capacity: 0.0, ..valid.clone() }, "capacity"),
     ] {
-        let refused = list.apply(&Command::Register(bad)).expect_err(field).to_string();
-        assert!(refused.starts_with(field), "{refused}");
+        let error = list.apply(&Command::Register(invalid)).expect_err(field).to_string();
+        assert!(error.starts_with(field), "{error}");
     }
     assert_eq!(list, List::default());
 }
 
 #[test]
-fn the_list_has_an_end() {
+fn a_full_list_rejects_new_instances() {
     let mut list = List::default();
-    for number in 0..MOST_INSTANCES {
-        list.apply(&register(&format!("s{number}"), 1)).expect("room");
+    for number in 0..MAX_INSTANCES {
+        list.apply(&register(&format!("s{number}"), 1)).expect("list is not full");
     }
-    assert_eq!(list.apply(&register("one more", 1)), Err(Refused::Full));
-    assert!(list.apply(&register("s0", 2)).is_ok(), "those on it may start again");
+    assert_eq!(list.apply(&register("one more", 1)), Err(ListError::Full));
+    assert!(list.apply(&register("s0", 2)).is_ok(), "a listed instance can restart");
 }
 
 #[test]
-fn who_is_too_far_behind_gets_the_whole_list() {
+fn a_watcher_behind_the_history_gets_the_full_list() {
     let mut list = List::default();
-    for boot_ms in 1..=HISTORY as u64 + 10 {
-        list.apply(&register("s0", boot_ms)).expect("taken");
+    for boot_ms in 1..=MAX_HISTORY as u64 + 10 {
+        list.apply(&register("s0", boot_ms)).expect("command is applied");
     }
     let newest = list.rev();
-    assert!(list.since(5).expect("news").all, "the history has forgotten");
-    assert!(!list.since(newest - HISTORY as u64).expect("news").all, "the oldest that it reaches");
-    assert!(list.since(newest + 1).expect("news").all, "never told by this list");
+    assert!(list.changes_since(5).expect("an update").all, "older than the history");
+    assert!(
+        !list.changes_since(newest - MAX_HISTORY as u64).expect("an update").all,
+        "the oldest revision of the history"
+    );
+    assert!(list.changes_since(newest + 1).expect("an update").all, "unknown to this list");
 }
 
 #[test]
-fn a_restore_goes_past_what_clients_have_seen() {
+fn a_restored_list_has_a_greater_revision_than_clients_have_seen() {
     let mut list = List::default();
-    list.apply(&register("s0", 5)).expect("taken");
+    list.apply(&register("s0", 5)).expect("command is applied");
     let backup = list.clone();
     for boot_ms in 6..20 {
-        list.apply(&register("s0", boot_ms)).expect("taken");
+        list.apply(&register("s0", boot_ms)).expect("command is applied");
     }
     let restored = backup.clone().restored(list.rev());
     assert!(restored.rev() > list.rev() && restored.incarnation() > list.incarnation());
-    let told = restored.since(list.rev()).expect("news");
-    assert!(told.all && told.lines.len() == 1, "{told:?}");
+    let update = restored.changes_since(list.rev()).expect("an update");
+    assert!(update.all && update.lines.len() == 1, "{update:?}");
 }
 
 fn commands() -> impl Strategy<Value = Vec<Command>> {
-    let life = || (0..6u8, 1..4u64).prop_map(|(number, boot_ms)| (format!("s{number}"), boot_ms));
-    let one = prop_oneof![
-        4 => life().prop_map(|(uid, boot_ms)| register(&uid, boot_ms)),
-        2 => life().prop_map(|(uid, boot_ms)| drain(&uid, boot_ms)),
-        2 => life().prop_map(|(uid, boot_ms)| leave(&uid, boot_ms)),
-        1 => proptest::collection::vec(life(), 0..4).prop_map(Command::Suspect),
-        1 => proptest::collection::vec(life(), 0..4).prop_map(Command::Clear),
+    let key = || (0..6u8, 1..4u64).prop_map(|(number, boot_ms)| (format!("s{number}"), boot_ms));
+    let command = prop_oneof![
+        4 => key().prop_map(|(uid, boot_ms)| register(&uid, boot_ms)),
+        2 => key().prop_map(|(uid, boot_ms)| drain(&uid, boot_ms)),
+        2 => key().prop_map(|(uid, boot_ms)| leave(&uid, boot_ms)),
+        1 => proptest::collection::vec(key(), 0..4).prop_map(Command::Suspect),
+        1 => proptest::collection::vec(key(), 0..4).prop_map(Command::Clear),
     ];
-    proptest::collection::vec(one, 0..60)
+    proptest::collection::vec(command, 0..60)
 }
 
 proptest! {
-    /// A watcher that looks now and then has, each time, the list that the registry has.
+    /// A watcher that applies all changes has the same list as the registry.
     #[test]
-    fn whoever_follows_the_changes_has_the_list(commands in commands(), looks in proptest::collection::vec(any::<bool>(), 60)) {
+    fn applying_all_changes_reproduces_the_list(commands in commands(), reads in proptest::collection::vec(any::<bool>(), 60)) {
         let mut list = List::default();
         let (mut seen, mut own): (Rev, BTreeMap<String, Line>) = (0, BTreeMap::new());
-        for (command, looks) in commands.iter().zip(looks) {
+        for (command, reads) in commands.iter().zip(reads) {
             let before = list.rev();
             let applied = list.apply(command);
             prop_assert!(list.rev() >= before);
-            prop_assert_eq!(matches!(applied, Ok(Some(_))), list.rev() > before, "a version is a change");
-            if !looks {
+            prop_assert_eq!(matches!(applied, Ok(Some(_))), list.rev() > before, "the revision increases exactly if the list changed");
+            if !reads {
                 continue;
             }
-            if let Some(told) = list.since(seen) {
-                prop_assert!(told.rev > seen);
-                seen = told.rev;
-                for line in told.lines {
+            if let Some(update) = list.changes_since(seen) {
+                prop_assert!(update.rev > seen);
+                seen = update.rev;
+                for line in update.lines {
                     if line.state == State::Gone {
                         own.remove(&line.instance.uid);
                     } else {
@@ -168,9 +171,9 @@
         }
     }
 
-    /// A life that has been followed by another never changes the list again.
+    /// The start time of an instance never decreases.
     #[test]
-    fn starts_only_rise(commands in commands()) {
+    fn start_times_never_decrease(commands in commands()) {
         let mut list = List::default();
         for command in &commands {
             let before: BTreeMap<String, u64> =
@@ -183,24 +186,24 @@
         }
     }
 
-    /// Two replicas that carry out the same commands are the same, refusals too.
+    /// Two replicas that apply the same commands are identical, including their errors.
     #[test]
-    fn replicas_are_alike(commands in commands()) {
-        let (mut one, mut other) = (List::default(), List::default());
+    fn applying_commands_is_deterministic(commands in commands()) {
+        let (mut first, mut second) = (List::default(), List::default());
         for command in &commands {
-            prop_assert_eq!(one.apply(command), other.apply(command));
+            prop_assert_eq!(first.apply(command), second.apply(command));
         }
-        prop_assert_eq!(one, other);
+        prop_assert_eq!(first, second);
     }
 }
 
 #[test]
-fn a_suspect_stays_on_the_list_and_clears_by_its_own_word() {
+fn a_suspect_stays_on_the_list_and_is_cleared_by_a_registration() {
     let mut list = List::default();
-    list.apply(&register("s0", 5)).expect("taken");
-    list.apply(&register("s1", 5)).expect("taken");
-    let both = vec![named("s0", 5), named("s1", 4), named("s2", 1)];
-    assert_eq!(list.apply(&Command::Suspect(both)), Ok(Some(3)), "only the life that the list has");
+    list.apply(&register("s0", 5)).expect("command is applied");
+    list.apply(&register("s1", 5)).expect("command is applied");
+    let both = vec![key("s0", 5), key("s1", 4), key("s2", 1)];
+    assert_eq!(list.apply(&Command::Suspect(both)), Ok(Some(3)), "only the process that is on the list");
     assert_eq!(list.line("s0").map(|line| (line.suspect, line.state)), Some((true, State::Ready)));
     assert_eq!(list.apply(&register("s0", 5)), Ok(Some(4)));
     assert_eq!(list.line("s0").map(|line| line.suspect), Some(false));
@@ -211,41 +214,44 @@
 }
 
 fn part(part: u32, parts: u32, lines: Vec<Line>) -> Command {
-    Command::Restore { part, parts, lines, past: past_all_before(1000) }
+    Command::Restore { part, parts, lines, past: revision_floor(1000) }
 }
 
 #[test]
-fn a_new_registry_begins_past_all_that_an_earlier_one_may_have_told_and_only_once() {
+fn a_new_registry_begins_above_the_revision_floor_and_only_once() {
     let mut list = List::default();
-    let past = past_all_before(1000);
+    let past = revision_floor(1000);
     assert_eq!(list.apply(&Command::Begin { past }), Ok(Some(past + 1)));
     assert_eq!(list.incarnation(), 1000);
-    assert_eq!(list.apply(&Command::Begin { past: past_all_before(2000) }), Ok(None), "it has begun");
+    assert_eq!(list.apply(&Command::Begin { past: revision_floor(2000) }), Ok(None), "it has already begun");
     assert_eq!(list.apply(&register("s0", 5)), Ok(Some(past + 2)));
-    assert!(list.since(41).is_some_and(|told| told.all), "whoever knew an earlier one gets the whole list");
+    assert!(
+        list.changes_since(41).is_some_and(|update| update.all),
+        "clients of an earlier registry get the full list"
+    );
 }
 
 #[test]
-fn a_backup_comes_back_in_parts_and_counts_only_once_it_is_whole() {
+fn a_backup_is_restored_in_parts_and_takes_effect_with_the_last_one() {
     let mut list = List::default();
-    list.apply(&register("now", 5)).expect("taken");
+    list.apply(&register("now", 5)).expect("command is applied");
     assert_eq!(list.apply(&part(0, 2, vec![line("a")])), Ok(None));
-    assert_eq!(list.lines().count(), 1, "nothing yet");
-    let wrong = Refused::Part { part: 2, parts: 3, lines: 0 };
-    assert_eq!(list.apply(&part(2, 3, Vec::new())), Err(wrong), "not the next one");
-    let rev = list.apply(&part(1, 2, vec![line("b")])).expect("taken").expect("a version");
-    assert!(rev > past_all_before(1000));
+    assert_eq!(list.lines().count(), 1, "the list is unchanged until the last part");
+    let out_of_order = ListError::UnexpectedPart { part: 2, parts: 3, lines: 0 };
+    assert_eq!(list.apply(&part(2, 3, Vec::new())), Err(out_of_order), "out of order");
+    let rev = list.apply(&part(1, 2, vec![line("b")])).expect("command is applied").expect("a revision");
+    assert!(rev > revision_floor(1000));
     let names: Vec<&str> = list.lines().map(|line| line.instance.uid.as_str()).collect();
     assert_eq!(names, ["a", "b"]);
-    assert!(list.lines().all(|line| !line.suspect), "all get a full lease");
-    // Once more, from the start: another incarnation, though the same second.
+    assert!(list.lines().all(|line| !line.suspect), "suspect marks are dropped");
+    // A second restore within the same second gets another incarnation.
     let before = list.incarnation();
-    list.apply(&part(0, 1, vec![line("c")])).expect("taken");
+    list.apply(&part(0, 1, vec![line("c")])).expect("command is applied");
     assert!(list.incarnation() > before && list.rev() > rev);
-    // A bad line spoils nothing that stands.
-    let bad = Line { instance: instance("", 1), ..line("d") };
-    assert!(matches!(list.apply(&part(0, 1, vec![bad])), Err(Refused::Name { .. })));
-    let many = vec![line("e"); MAX_PART_LINES + 1];
-    assert!(matches!(list.apply(&part(0, 1, many)), Err(Refused::Part { .. })));
+    // An invalid line does not affect the current list.
+    let invalid = Line { instance: instance("", 1), ..line("d") };
+    assert!(matches!(list.apply(&part(0, 1, vec![invalid])), Err(ListError::InvalidName { .. })));
+    let oversized = vec![line("e"); MAX_PART_LINES + 1];
+    assert!(matches!(list.apply(&part(0, 1, oversized)), Err(ListError::UnexpectedPart { .. })));
     assert_eq!(list.lines().count(), 1);
 }
