--- a/registry/src/leases.rs
+++ b/registry/src/leases.rs
@@ -1,173 +1,186 @@
-//! Who has renewed when, and which silences are believed. Kept by the leader alone, in memory: a thousand servers
-//! that renew each second cost the log nothing. Time is an argument, on the leader's own monotonic clock; no clock of
-//! another machine is looked at.
+//! The leases of instances. Only the leader keeps them, in memory, so renewals are not written to the log. Time is an
+//! argument and comes from the leader's monotonic clock; clocks of other hosts are not used.
+//!
+//! When a few leases of a zone expire, their instances are removed. When many expire at once, the cause is probably the
+//! network, so the instances are marked as suspects and stay on the list.
 
 use std::collections::BTreeMap;
 
 use crate::list::{Command, List};
 
-/// Nanoseconds on the leader's clock.
+/// Nanoseconds on the leader's monotonic clock.
 pub type Nanos = u64;
 
-/// When a silence is believed.
+/// When an expired lease is treated as the failure of its instance.
 #[derive(Clone, Copy, Debug)]
-pub struct Rules {
-    /// A lease lasts so long from its last renewal.
+pub struct LeasePolicy {
+    /// Duration of a lease since its last renewal.
     pub lease: Nanos,
-    /// When more than this share of a zone's instances lapse within a lease, they are held as suspects.
+    /// When more than this share of a zone's leases expire within the duration of a lease, the instances become suspects.
     pub believed_share: f64,
-    /// Lapses that are believed in a zone whatever their share: in a zone of two a single one is half.
+    /// Number of expired leases in a zone up to which the instances are removed regardless of the share, for small zones.
     pub believed_count: usize,
-    /// Suspects are held for so long at most; then they have left after all.
+    /// Time after which suspects that have not renewed are removed.
     pub hold: Nanos,
 }
 
-impl Default for Rules {
+impl Default for LeasePolicy {
     fn default() -> Self {
         const SECOND: Nanos = 1_000_000_000;
         Self { lease: 6 * SECOND, believed_share: 0.3, believed_count: 1, hold: 120 * SECOND }
     }
 }
 
-/// Why a renewal was not taken.
+/// Why a renewal was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum NotRenewed {
-    /// The list does not know this life: it has to register.
-    #[error("not on the list with this start: register")]
+pub enum RenewError {
+    /// The list does not contain the instance with this start time.
+    #[error("not on the list with this start time: must register")]
     Unknown,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Lease {
     boot_ms: u64,
-    until: Nanos,
+    expires_at: Nanos,
     suspect_since: Option<Nanos>,
 }
 
-/// The leases of one leader's time in office.
+/// The leases that a leader keeps during its term.
 #[derive(Clone, Debug)]
 pub struct Leases {
-    rules: Rules,
+    policy: LeasePolicy,
     leases: BTreeMap<String, Lease>,
-    /// Lapses that were believed of late, by zone, with their times.
-    lapsed: BTreeMap<String, Vec<Nanos>>,
-    last_look: Nanos,
+    /// Times of the removals within the last lease duration, by zone.
+    recent_removals: BTreeMap<String, Vec<Nanos>>,
+    last_check: Nanos,
 }
 
 impl Leases {
-    /// A leader takes office: every lease gets its full time, since the silence before was the registry's.
-    pub fn new(rules: Rules, list: &List, now: Nanos) -> Self {
-        let mut leases = Self { rules, leases: BTreeMap::new(), lapsed: BTreeMap::new(), last_look: now };
-        leases.follow(list, now);
+    /// Creates the leases of a new leader. Every lease starts with its full duration, because renewals may have failed
+    /// while there was no leader.
+    pub fn new(policy: LeasePolicy, list: &List, now: Nanos) -> Self {
+        let mut leases =
+            Self { policy, leases: BTreeMap::new(), recent_removals: BTreeMap::new(), last_check: now };
+        leases.sync(list, now);
         leases
     }
 
-    /// Takes in what the list has become: new lives get a full lease, those that left lose theirs.
-    pub fn follow(&mut self, list: &List, now: Nanos) {
-        let until = now.saturating_add(self.rules.lease);
+    /// Synchronizes the leases with the list: new instances get a full lease, and leases of removed ones are dropped.
+    pub fn sync(&mut self, list: &List, now: Nanos) {
+        let expires_at = now.saturating_add(self.policy.lease);
         self.leases
             .retain(|uid, lease| list.line(uid).is_some_and(|line| line.instance.boot_ms == lease.boot_ms));
         for line in list.lines() {
-            let fresh =
-                Lease { boot_ms: line.instance.boot_ms, until, suspect_since: line.suspect.then_some(now) };
-            self.leases.entry(line.instance.uid.clone()).or_insert(fresh);
+            let new_lease = Lease {
+                boot_ms: line.instance.boot_ms,
+                expires_at,
+                suspect_since: line.suspect.then_some(now),
+            };
+            self.leases.entry(line.instance.uid.clone()).or_insert(new_lease);
         }
     }
 
-    /// An instance renews. The command, if any, is for the log: a suspect has shown that it lives.
-    pub fn renew(&mut self, uid: &str, boot_ms: u64, now: Nanos) -> Result<Option<Command>, NotRenewed> {
+    /// Renews the lease of an instance. Returns a command to be replicated if the instance was a suspect.
+    pub fn renew(&mut self, uid: &str, boot_ms: u64, now: Nanos) -> Result<Option<Command>, RenewError> {
         let lease = self.leases.get_mut(uid).filter(|lease| lease.boot_ms == boot_ms);
-        let lease = lease.ok_or(NotRenewed::Unknown)?;
-        lease.until = lease.until.max(now.saturating_add(self.rules.lease));
-        let suspected = lease.suspect_since.take().is_some();
-        Ok(suspected.then(|| Command::Clear(vec![(uid.to_owned(), boot_ms)])))
+        let lease = lease.ok_or(RenewError::Unknown)?;
+        lease.expires_at = lease.expires_at.max(now.saturating_add(self.policy.lease));
+        let was_suspect = lease.suspect_since.take().is_some();
+        Ok(was_suspect.then(|| Command::Clear(vec![(uid.to_owned(), boot_ms)])))
     }
 
-    /// A person says that a zone's suspects live, and get a full lease; or that they have gone.
-    pub fn decide(&mut self, list: &List, zone: &str, alive: bool, now: Nanos) -> Vec<Command> {
-        let of_zone = |uid: &str| list.line(uid).is_some_and(|line| line.instance.zone == zone);
-        let until = now.saturating_add(self.rules.lease);
-        let mut concerned = Vec::new();
+    /// Applies an operator's decision on the suspects of a zone: they get a full lease or are removed. Returns the
+    /// commands to be replicated.
+    pub fn resolve_suspects(&mut self, list: &List, zone: &str, alive: bool, now: Nanos) -> Vec<Command> {
+        let in_zone = |uid: &str| list.line(uid).is_some_and(|line| line.instance.zone == zone);
+        let expires_at = now.saturating_add(self.policy.lease);
+        let mut resolved = Vec::new();
         for (uid, lease) in &mut self.leases {
-            if of_zone(uid) && lease.suspect_since.is_some() {
+            if in_zone(uid) && lease.suspect_since.is_some() {
                 if alive {
-                    (lease.until, lease.suspect_since) = (until, None);
+                    (lease.expires_at, lease.suspect_since) = (expires_at, None);
                 }
-                concerned.push((uid.clone(), lease.boot_ms));
+                resolved.push((uid.clone(), lease.boot_ms));
             }
         }
-        match (alive, concerned.is_empty()) {
+        match (alive, resolved.is_empty()) {
             (_, true) => Vec::new(),
-            (true, false) => vec![Command::Clear(concerned)],
+            (true, false) => vec![Command::Clear(resolved)],
             (false, false) => {
-                concerned.into_iter().map(|(uid, boot_ms)| Command::Leave { uid, boot_ms }).collect()
+                resolved.into_iter().map(|(uid, boot_ms)| Command::Leave { uid, boot_ms }).collect()
             }
         }
     }
 
-    /// Looks which leases have lapsed by now, and what may be believed of them. To be called a few times in a lease.
+    /// Checks for expired leases and returns the commands to be replicated. Must be called several times within the
+    /// duration of a lease.
     ///
-    /// A leader that was itself paused, and looks again after half a lease or more, believes nothing that it missed:
-    /// every lease gets its full time again.
-    pub fn look(&mut self, list: &List, now: Nanos) -> Vec<Command> {
-        let missed = now.saturating_sub(self.last_look) >= self.rules.lease / 2;
-        self.last_look = self.last_look.max(now);
-        if missed {
-            let until = now.saturating_add(self.rules.lease);
-            self.leases.values_mut().for_each(|lease| lease.until = lease.until.max(until));
+    /// If the last check was half a lease or more ago, the leader itself was paused and may have missed renewals. Then all
+    /// leases are extended to their full duration.
+    pub fn expire(&mut self, list: &List, now: Nanos) -> Vec<Command> {
+        let paused = now.saturating_sub(self.last_check) >= self.policy.lease / 2;
+        self.last_check = self.last_check.max(now);
+        if paused {
+            let expires_at = now.saturating_add(self.policy.lease);
+            self.leases.values_mut().for_each(|lease| lease.expires_at = lease.expires_at.max(expires_at));
             return Vec::new();
         }
-        let mut sizes: BTreeMap<&str, usize> = BTreeMap::new();
-        let mut held: BTreeMap<&str, usize> = BTreeMap::new();
-        let mut due: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
+        let mut zone_sizes: BTreeMap<&str, usize> = BTreeMap::new();
+        let mut suspects: BTreeMap<&str, usize> = BTreeMap::new();
+        let mut expired: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
         for line in list.lines() {
             let (uid, zone) = (line.instance.uid.as_str(), line.instance.zone.as_str());
-            *sizes.entry(zone).or_default() += 1;
-            let lapses = |lease: &Lease| lease.until <= now && lease.suspect_since.is_none();
+            *zone_sizes.entry(zone).or_default() += 1;
+            let is_expired = |lease: &Lease| lease.expires_at <= now && lease.suspect_since.is_none();
             let lease = self.leases.get(uid);
-            if lease.is_some_and(lapses) {
-                due.entry(zone).or_default().push(uid);
+            if lease.is_some_and(is_expired) {
+                expired.entry(zone).or_default().push(uid);
             }
-            *held.entry(zone).or_default() += usize::from(lease.is_some_and(|l| l.suspect_since.is_some()));
+            *suspects.entry(zone).or_default() +=
+                usize::from(lease.is_some_and(|l| l.suspect_since.is_some()));
         }
         let mut commands = Vec::new();
-        for (zone, uids) in due {
-            let recent = self.lapsed.entry(zone.to_owned()).or_default();
-            recent.retain(|at| now.saturating_sub(*at) < self.rules.lease);
-            // Those that are held count too, or each further one would look like a single death.
-            let before = recent.len();
-            let lapsing = uids.len() + before + held.get(zone).copied().unwrap_or(0);
-            let size = sizes.get(zone).copied().unwrap_or(0) + before;
-            let believed =
-                ((size as f64 * self.rules.believed_share) as usize).max(self.rules.believed_count);
-            let lives =
-                uids.iter().filter_map(|uid| Some(((*uid).to_owned(), self.leases.get(*uid)?.boot_ms)));
-            let lives: Vec<(String, u64)> = lives.collect();
-            if lapsing <= believed {
-                recent.extend(lives.iter().map(|_| now));
-                commands.extend(lives.into_iter().map(|(uid, boot_ms)| Command::Leave { uid, boot_ms }));
+        for (zone, expired_uids) in expired {
+            let removal_times = self.recent_removals.entry(zone.to_owned()).or_default();
+            removal_times.retain(|at| now.saturating_sub(*at) < self.policy.lease);
+            // Current suspects count as well. Otherwise each further expiry would look like a single failure.
+            let removed_count = removal_times.len();
+            let failing = expired_uids.len() + removed_count + suspects.get(zone).copied().unwrap_or(0);
+            let zone_size = zone_sizes.get(zone).copied().unwrap_or(0) + removed_count;
+            let max_removals =
+                ((zone_size as f64 * self.policy.believed_share) as usize).max(self.policy.believed_count);
+            let keys = expired_uids
+                .iter()
+                .filter_map(|uid| Some(((*uid).to_owned(), self.leases.get(*uid)?.boot_ms)));
+            let keys: Vec<(String, u64)> = keys.collect();
+            if failing <= max_removals {
+                removal_times.extend(keys.iter().map(|_| now));
+                commands.extend(keys.into_iter().map(|(uid, boot_ms)| Command::Leave { uid, boot_ms }));
             } else {
-                for (uid, _) in &lives {
+                for (uid, _) in &keys {
                     let lease = self.leases.get_mut(uid);
                     lease.into_iter().for_each(|lease| lease.suspect_since = Some(now));
                 }
-                commands.push(Command::Suspect(lives));
+                commands.push(Command::Suspect(keys));
             }
         }
-        let long =
-            |lease: &Lease| lease.suspect_since.is_some_and(|at| now.saturating_sub(at) >= self.rules.hold);
-        let over = self.leases.iter().filter(|(_, lease)| long(lease));
-        commands.extend(over.map(|(uid, lease)| Command::Leave { uid: uid.clone(), boot_ms: lease.boot_ms }));
-        self.lapsed.retain(|_, times| !times.is_empty());
+        let hold_is_over = |lease: &Lease| {
+            lease.suspect_since.is_some_and(|since| now.saturating_sub(since) >= self.policy.hold)
+        };
+        let overdue = self.leases.iter().filter(|(_, lease)| hold_is_over(lease));
+        commands
+            .extend(overdue.map(|(uid, lease)| Command::Leave { uid: uid.clone(), boot_ms: lease.boot_ms }));
+        self.recent_removals.retain(|_, times| !times.is_empty());
         commands
     }
 
-    /// Leases that are kept: one for each line.
+    /// Returns the number of leases.
     pub fn len(&self) -> usize {
         self.leases.len()
     }
 
-    /// Whether there is none.
+    /// Returns whether there are no leases.
     pub fn is_empty(&self) -> bool {
         self.leases.is_empty()
     }
--- a/registry/src/replica/leadership.rs
+++ b/registry/src/replica/leadership.rs
@@ -90,7 +90,7 @@
                 return;
             }
         }
-        let leases = Leases::new(self.settings.rules(), &self.shared.read().list, self.now());
+        let leases = Leases::new(self.settings.lease_policy(), &self.shared.read().list, self.now());
         tracing::info!(term, leases = leases.len(), rev = self.rev(), "leads: every lease has its full time");
         self.figures.terms.inc();
         *lock(&self.office) = Some(Office { term, leases });
@@ -101,8 +101,8 @@
             let mut office = lock(&self.office);
             let Some(office) = office.as_mut() else { return };
             let (state, now) = (self.shared.read(), self.now());
-            office.leases.follow(&state.list, now);
-            office.leases.look(&state.list, now)
+            office.leases.sync(&state.list, now);
+            office.leases.expire(&state.list, now)
         };
         for command in commands {
             self.figures.lapses.inc();
@@ -129,7 +129,7 @@
             let office = office.as_mut().filter(|office| office.term == confirmed.term);
             let office = office.ok_or_else(|| Trouble::later("the leader has just come into office"))?;
             let now = self.now();
-            office.leases.follow(&self.shared.read().list, now);
+            office.leases.sync(&self.shared.read().list, now);
             for InstanceKey { uid, boot_ms } in &renewal.lives {
                 match office.leases.renew(uid, *boot_ms, now) {
                     Ok(Some(Command::Clear(lives))) => cleared.extend(lives),
@@ -153,7 +153,7 @@
             let office = office.as_mut().filter(|office| office.term == confirmed.term);
             let office = office.ok_or_else(|| Trouble::later("the leader has just come into office"))?;
             let state = self.shared.read();
-            office.leases.decide(&state.list, &decision.zone, decision.alive, self.now())
+            office.leases.resolve_suspects(&state.list, &decision.zone, decision.alive, self.now())
         };
         if commands.is_empty() {
             return Err(Trouble::refused(404, format!("zone {:?} has no suspects", decision.zone)));
--- a/registry/src/settings.rs
+++ b/registry/src/settings.rs
@@ -7,7 +7,7 @@
 use flaxdale_fleet::file::{FileError, MAX_REPLICAS, ValidationError, read};
 use serde::{Deserialize, Serialize};
 
-use crate::leases::Rules;
+use crate::leases::LeasePolicy;
 use crate::list::MAX_NAME_BYTES;
 use crate::raft::Place;
 
@@ -57,7 +57,7 @@
 
 impl Default for Settings {
     fn default() -> Self {
-        let usual = Rules::default();
+        let usual = LeasePolicy::default();
         Self {
             fleet: "fleet".to_owned(),
             listen: SocketAddr::from(([127, 0, 0, 1], 7200)),
@@ -154,8 +154,8 @@
     }
 
     /// Which silences are believed.
-    pub fn rules(&self) -> Rules {
-        Rules {
+    pub fn lease_policy(&self) -> LeasePolicy {
+        LeasePolicy {
             lease: self.lease_ms * 1_000_000,
             believed_share: self.believed_share,
             believed_count: self.believed_count,
