--- a/registry/src/peers.rs
+++ b/registry/src/peers.rs
@@ -23,7 +23,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::raft::{Place, ReplicaId, Types};
-use crate::state_machine::State;
+use crate::state_machine::RegistryState;
 
 /// Headers that name the fleet and the replica that is meant.
 pub const FLEET: &str = "x-registry-fleet";
@@ -50,7 +50,7 @@
     /// What it is a snapshot of.
     pub meta: SnapshotMeta<ReplicaId, Place>,
     /// The state.
-    pub state: State,
+    pub state: RegistryState,
 }
 
 /// Connections to the other replicas.
--- a/registry/src/raft.rs
+++ b/registry/src/raft.rs
@@ -1,4 +1,4 @@
-//! What the replicated log carries, and the names that the consensus library is given for it.
+//! Type configuration of openraft.
 
 use std::net::SocketAddr;
 
@@ -6,38 +6,38 @@
 use serde::{Deserialize, Serialize};
 
 use crate::list::{Command, ListError, Rev};
-use crate::state_machine::State;
+use crate::state_machine::RegistryState;
 
-/// A replica's name: drawn when its store is made, so that one that has lost its store is another replica. A vote that
-/// was given and forgotten is never given twice under one name.
+/// The ID of a replica. It is drawn at random when the store is created, so a replica that has lost its store gets a new
+/// ID and can't vote a second time in a term under the old one.
 pub type ReplicaId = u64;
 
-/// Where a replica is.
+/// The addresses of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Place {
-    /// For the other replicas.
+    /// The address for other replicas.
     pub peer: SocketAddr,
-    /// For clients.
+    /// The address for clients.
     pub client: SocketAddr,
 }
 
 impl Default for Place {
     fn default() -> Self {
-        let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
-        Self { peer: nowhere, client: nowhere }
+        let unspecified = SocketAddr::from(([0, 0, 0, 0], 0));
+        Self { peer: unspecified, client: unspecified }
     }
 }
 
-/// What a command came to.
+/// The result of applying a command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Applied {
-    /// It was carried out; the list's version then.
+    /// The command was applied, and the list has this revision.
     Done(Rev),
-    /// It changed nothing.
+    /// The command was rejected and changed nothing.
     Refused {
-        /// An HTTP status that says of what kind the reason is.
+        /// The HTTP status for the error.
         status: u16,
-        /// The reason.
+        /// The error message.
         text: String,
     },
 }
@@ -57,23 +57,23 @@
 }
 
 openraft::declare_raft_types!(
-    /// The registry's types, as the library wants them. An entry carries commands that came in together.
+    /// The type configuration of the registry. A log entry holds a batch of commands.
     pub Types:
         D = Vec<Command>,
         R = Vec<Applied>,
         NodeId = ReplicaId,
         Node = Place,
         Entry = openraft::Entry<Types>,
-        SnapshotData = State,
+        SnapshotData = RegistryState,
         Responder = OneshotResponder<Types>,
         AsyncRuntime = TokioRuntime,
 );
 
-/// A place in the log.
+/// The ID of a log entry.
 pub type LogId = openraft::LogId<ReplicaId>;
-/// Who the replicas are.
+/// The membership of the registry with the entry that set it.
 pub type Membership = openraft::StoredMembership<ReplicaId, Place>;
-/// Trouble of the store, as the library wants it.
+/// A storage error as reported to openraft.
 pub type StorageError = openraft::StorageError<ReplicaId>;
-/// The consensus.
+/// The Raft node of a replica.
 pub type Raft = openraft::Raft<Types>;
--- a/registry/src/replica/mod.rs
+++ b/registry/src/replica/mod.rs
@@ -28,7 +28,7 @@
 use crate::raft::{Applied, Place, Raft, ReplicaId};
 use crate::response_cache::Hub;
 use crate::settings::Settings;
-use crate::state_machine::{Machine, Shared};
+use crate::state_machine::{SharedState, StateMachine};
 use crate::store::{Store, StoreError};
 use crate::wire::{
     Backup, BackupPart, InstanceKey, Renewal, RenewalResponse, ReplicaChange, SuspectDecision,
@@ -164,7 +164,7 @@
     id: ReplicaId,
     raft: Raft,
     store: Store,
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     peers: Peers,
     /// Answers to watchers.
     pub hub: Hub,
@@ -218,9 +218,9 @@
         };
         let config = Arc::new(config.validate().map_err(|error| raft_of(&error))?);
         let peers = Peers::new(&settings.fleet, settings.via.clone());
-        let machine = Machine::open(store.clone()).await.map_err(|error| raft_of(&error))?;
-        let shared = machine.shared();
-        let raft = Raft::new(id, config, peers.clone(), store.clone(), machine).await;
+        let state_machine = StateMachine::open(store.clone()).await.map_err(|error| raft_of(&error))?;
+        let shared = state_machine.shared();
+        let raft = Raft::new(id, config, peers.clone(), store.clone(), state_machine).await;
         let raft = raft.map_err(|error| raft_of(&error))?;
         let (confirmations, asked) = mpsc::channel(MOST_WAITING);
         let (writes, written) = mpsc::channel(MOST_WAITING);
@@ -323,7 +323,7 @@
 
     /// What has gone wrong for good in this life.
     fn trouble(&self) -> Option<String> {
-        if let Some(trouble) = self.store.trouble() {
+        if let Some(trouble) = self.store.first_write_error() {
             return Some(format!("the store takes no more writes: {trouble}"));
         }
         let running = self.raft.metrics().borrow().running_state.clone();
--- a/registry/src/response_cache.rs
+++ b/registry/src/response_cache.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 
 use crate::list::Rev;
-use crate::state_machine::Shared;
+use crate::state_machine::SharedState;
 use crate::wire::Listing;
 
 /// Answers to one version that are kept: one for each version that some watcher still has.
@@ -14,7 +14,7 @@
 
 /// Makes answers.
 pub struct Hub {
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     kept: Mutex<Kept>,
 }
 
@@ -26,7 +26,7 @@
 
 impl Hub {
     /// Answers from this state.
-    pub fn new(shared: Arc<Shared>) -> Self {
+    pub fn new(shared: Arc<SharedState>) -> Self {
         Self { shared, kept: Mutex::default() }
     }
 
--- a/registry/src/state_machine.rs
+++ b/registry/src/state_machine.rs
@@ -1,5 +1,5 @@
-//! The replicated state: the list, and how far the log is in it. Commands are applied in the log's order on every replica;
-//! watchers learn of each new version.
+//! The replicated state machine: the instance list and the log position up to which it is applied. Watchers are notified
+//! of each new revision.
 
 use std::sync::{Arc, PoisonError, RwLock, RwLockReadGuard};
 
@@ -12,72 +12,72 @@
 use crate::raft::{Applied, LogId, Membership, Place, ReplicaId, StorageError, Types};
 use crate::store::Store;
 
-/// What every replica has after the same entries.
+/// The replicated state.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct State {
-    /// The list.
+pub struct RegistryState {
+    /// The instance list.
     pub list: List,
-    /// The last entry that is in it.
+    /// The last log entry that is applied.
     pub applied: Option<LogId>,
-    /// Who the replicas are.
+    /// The current membership.
     pub membership: Membership,
 }
 
-/// The state as readers and watchers share it.
-pub struct Shared {
-    state: RwLock<State>,
+/// The state as shared by the state machine, readers and watchers.
+pub struct SharedState {
+    state: RwLock<RegistryState>,
     rev: watch::Sender<Rev>,
 }
 
-impl Shared {
-    fn new(state: State) -> Self {
+impl SharedState {
+    fn new(state: RegistryState) -> Self {
         let rev = watch::Sender::new(state.list.rev());
         Self { state: RwLock::new(state), rev }
     }
 
-    /// The state as it is now. Not to be held while waiting.
-    pub fn read(&self) -> RwLockReadGuard<'_, State> {
-        // Whoever panicked with it only read, or had its change whole.
+    /// Returns a read guard of the current state, which must not be held across an await point.
+    pub fn read(&self) -> RwLockReadGuard<'_, RegistryState> {
+        // The state is consistent even if a thread has panicked with the lock held.
         self.state.read().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells of each new version.
+    /// Returns a receiver that is notified of each new revision.
     pub fn watch(&self) -> watch::Receiver<Rev> {
         self.rev.subscribe()
     }
 
-    fn change<T>(&self, change: impl FnOnce(&mut State) -> T) -> T {
+    fn modify<T>(&self, modify: impl FnOnce(&mut RegistryState) -> T) -> T {
         let mut state = self.state.write().unwrap_or_else(PoisonError::into_inner);
-        let changed = change(&mut state);
+        let result = modify(&mut state);
         let rev = state.list.rev();
         drop(state);
         self.rev.send_if_modified(|known| std::mem::replace(known, rev) != rev);
-        changed
+        result
     }
 }
 
-/// The state machine as the consensus library drives it.
-pub struct Machine {
-    shared: Arc<Shared>,
+/// The state machine that openraft applies entries to.
+pub struct StateMachine {
+    shared: Arc<SharedState>,
     store: Store,
 }
 
-impl Machine {
-    /// The state as the last snapshot has it; what the log has beyond it comes from there.
+impl StateMachine {
+    /// Opens the state machine at the last snapshot. Later entries are applied again from the log.
     pub async fn open(store: Store) -> Result<Self, StorageError> {
         let snapshot = store.snapshot().await.map_err(|error| StorageIOError::read_snapshot(None, &error))?;
         let state = snapshot.map(|(_, state)| state).unwrap_or_default();
-        Ok(Self { shared: Arc::new(Shared::new(state)), store })
+        Ok(Self { shared: Arc::new(SharedState::new(state)), store })
     }
 
-    /// The state, to be read.
-    pub fn shared(&self) -> Arc<Shared> {
+    /// Returns the shared state.
+    pub fn shared(&self) -> Arc<SharedState> {
         self.shared.clone()
     }
 }
 
-impl RaftStateMachine<Types> for Machine {
-    type SnapshotBuilder = Builder;
+impl RaftStateMachine<Types> for StateMachine {
+    type SnapshotBuilder = SnapshotBuilder;
 
     async fn applied_state(&mut self) -> Result<(Option<LogId>, Membership), StorageError> {
         let state = self.shared.read();
@@ -90,7 +90,7 @@
         I::IntoIter: OptionalSend,
     {
         let entries = entries.into_iter();
-        Ok(self.shared.change(|state| {
+        Ok(self.shared.modify(|state| {
             let apply = |entry: openraft::Entry<Types>| {
                 state.applied = Some(entry.log_id);
                 match entry.payload {
@@ -112,39 +112,40 @@
         }))
     }
 
-    async fn get_snapshot_builder(&mut self) -> Builder {
-        Builder { state: self.shared.read().clone(), store: self.store.clone() }
+    async fn get_snapshot_builder(&mut self) -> SnapshotBuilder {
+        SnapshotBuilder { state: self.shared.read().clone(), store: self.store.clone() }
     }
 
-    async fn begin_receiving_snapshot(&mut self) -> Result<Box<State>, StorageError> {
+    async fn begin_receiving_snapshot(&mut self) -> Result<Box<RegistryState>, StorageError> {
         Ok(Box::default())
     }
 
     async fn install_snapshot(
         &mut self,
         meta: &SnapshotMeta<ReplicaId, Place>,
-        snapshot: Box<State>,
+        snapshot: Box<RegistryState>,
     ) -> Result<(), StorageError> {
-        let kept = self.store.keep_snapshot(meta.clone(), *snapshot).await;
-        let kept = kept.map_err(|error| StorageIOError::write_snapshot(Some(meta.signature()), &error))?;
-        self.shared.change(|state| *state = kept);
+        let stored = self.store.save_snapshot(meta.clone(), *snapshot).await;
+        let stored =
+            stored.map_err(|error| StorageIOError::write_snapshot(Some(meta.signature()), &error))?;
+        self.shared.modify(|state| *state = stored);
         Ok(())
     }
 
     async fn get_current_snapshot(&mut self) -> Result<Option<Snapshot<Types>>, StorageError> {
-        let kept =
+        let stored =
             self.store.snapshot().await.map_err(|error| StorageIOError::read_snapshot(None, &error))?;
-        Ok(kept.map(|(meta, state)| Snapshot { meta, snapshot: Box::new(state) }))
+        Ok(stored.map(|(meta, state)| Snapshot { meta, snapshot: Box::new(state) }))
     }
 }
 
-/// Writes a snapshot of the state as it was when this was made.
-pub struct Builder {
-    state: State,
+/// Writes a snapshot of the state at the time of this builder's creation.
+pub struct SnapshotBuilder {
+    state: RegistryState,
     store: Store,
 }
 
-impl RaftSnapshotBuilder<Types> for Builder {
+impl RaftSnapshotBuilder<Types> for SnapshotBuilder {
     async fn build_snapshot(&mut self) -> Result<Snapshot<Types>, StorageError> {
         let applied = self.state.applied;
         let meta = SnapshotMeta {
@@ -153,8 +154,9 @@
             snapshot_id: applied
                 .map_or_else(|| "empty".to_owned(), |id| format!("{}-{}", id.leader_id, id.index)),
         };
-        let kept = self.store.keep_snapshot(meta.clone(), self.state.clone()).await;
-        let kept = kept.map_err(|error| StorageIOError::write_snapshot(Some(meta.signature()), &error))?;
-        Ok(Snapshot { meta, snapshot: Box::new(kept) })
+        let stored = self.store.save_snapshot(meta.clone(), self.state.clone()).await;
+        let stored =
+            stored.map_err(|error| StorageIOError::write_snapshot(Some(meta.signature()), &error))?;
+        Ok(Snapshot { meta, snapshot: Box::new(stored) })
     }
 }
--- a/registry/src/store.rs
+++ b/registry/src/store.rs
@@ -1,5 +1,5 @@
-//! What a replica keeps on disk: its name, its vote, the log and the last snapshot, in one database file. A change is on
-//! disk before it is acknowledged; a kill in the middle of a write leaves the state before it or after it.
+//! The durable state of a replica: its ID, its vote, the log and the last snapshot, in one redb database. Writes are
+//! atomic and durable before they are acknowledged.
 
 use std::fmt::Debug;
 use std::ops::{Bound, RangeBounds};
@@ -13,58 +13,58 @@
 use serde::de::DeserializeOwned;
 
 use crate::raft::{LogId, Place, ReplicaId, StorageError, Types};
-use crate::state_machine::State;
+use crate::state_machine::RegistryState;
 
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
-/// Names in [`META`].
+// Keys of [`META`].
 const ID: &str = "id";
 const FLEET: &str = "fleet";
 const VOTE: &str = "vote";
 const COMMITTED: &str = "committed";
-const PURGED: &str = "purged";
+const LAST_PURGED: &str = "purged";
 const SNAPSHOT_META: &str = "snapshot-meta";
 const SNAPSHOT: &str = "snapshot";
-/// Memory for the database's pages.
-const CACHE: usize = 16 * 1024 * 1024;
-/// Bytes of entries that are read at a time: a replica that is behind gets them in several messages.
-const MOST_READ: usize = 512 * 1024;
+/// Size of the database's page cache.
+const CACHE_BYTES: usize = 16 * 1024 * 1024;
+/// Limit of the entries that are read for one replication message.
+const MAX_READ_BYTES: usize = 512 * 1024;
 
-type Meta = SnapshotMeta<ReplicaId, Place>;
+type SnapshotMetadata = SnapshotMeta<ReplicaId, Place>;
 
-/// Why the store can't do what is wanted.
+/// Why an operation of the store failed.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The database.
+    /// The database reported an error.
     #[error("{0}")]
     Database(#[from] redb::Error),
-    /// What is in it.
-    #[error("what is stored can't be read: {0}")]
+    /// A stored value can't be decoded, or a value can't be encoded.
+    #[error("malformed value in the store: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// It is another fleet's.
-    #[error("{file} is the store of fleet {kept:?}, not of {wanted:?}")]
+    /// The store belongs to another fleet.
+    #[error("{file} is the store of fleet {stored:?}, expected {expected:?}")]
     Fleet {
         /// The file.
         file: String,
-        /// Whose it is.
-        kept: String,
-        /// Whose it should be.
-        wanted: String,
+        /// The fleet that the store belongs to.
+        stored: String,
+        /// The fleet of this replica.
+        expected: String,
     },
-    /// The folder.
-    #[error("{folder}: {source}")]
-    Folder {
-        /// The folder.
-        folder: String,
-        /// What is wrong with it.
+    /// The directory can't be created.
+    #[error("{directory}: {source}")]
+    Directory {
+        /// The directory.
+        directory: String,
+        /// The error.
         source: std::io::Error,
     },
-    /// It was given up half way.
-    #[error("the program ends")]
-    Ends,
+    /// The operation did not complete because the runtime is shutting down or the operation panicked.
+    #[error("store operation cancelled")]
+    Cancelled,
 }
 
-macro_rules! from_database {
+macro_rules! impl_from_redb {
     ($($error:ident),*) => { $(
         impl From<redb::$error> for StoreError {
             fn from(error: redb::$error) -> Self {
@@ -73,15 +73,15 @@
         }
     )* };
 }
-from_database!(CommitError, DatabaseError, SetDurabilityError, StorageError, TableError, TransactionError);
+impl_from_redb!(CommitError, DatabaseError, SetDurabilityError, StorageError, TableError, TransactionError);
 
-/// A replica's store.
+/// The store of a replica.
 #[derive(Clone)]
 pub struct Store {
     database: Arc<Database>,
     file: PathBuf,
-    /// The first thing that could not be written; nothing is, from then on.
-    trouble: Arc<Mutex<Option<String>>>,
+    /// The first write that failed. From then on the replica rejects writes.
+    first_write_error: Arc<Mutex<Option<String>>>,
 }
 
 fn read<T: DeserializeOwned>(database: &Database, name: &str) -> Result<Option<T>, StoreError> {
@@ -91,125 +91,130 @@
 }
 
 fn write(database: &Database, durability: Durability, values: &[(&str, Vec<u8>)]) -> Result<(), StoreError> {
-    let mut change = database.begin_write()?;
-    change.set_durability(durability)?;
+    let mut transaction = database.begin_write()?;
+    transaction.set_durability(durability)?;
     {
-        let mut table = change.open_table(META)?;
+        let mut table = transaction.open_table(META)?;
         for (name, value) in values {
             table.insert(*name, value.as_slice())?;
         }
     }
-    change.commit()?;
+    transaction.commit()?;
     Ok(())
 }
 
-fn encoded<T: Serialize>(value: &T) -> Result<Vec<u8>, StoreError> {
+fn encode<T: Serialize>(value: &T) -> Result<Vec<u8>, StoreError> {
     Ok(serde_json::to_vec(value)?)
 }
 
 impl Store {
-    /// Opens the store in a folder, or makes one, under `fresh` as the replica's name.
-    pub fn open(folder: &Path, fleet: &str, fresh: ReplicaId) -> Result<Self, StoreError> {
-        let of_folder = |source| StoreError::Folder { folder: folder.display().to_string(), source };
-        std::fs::create_dir_all(folder).map_err(of_folder)?;
-        let file = folder.join("registry.redb");
-        let database = Database::builder().set_cache_size(CACHE).create(&file)?;
-        let change = database.begin_write()?;
-        change.open_table(LOG)?;
-        change.open_table(META)?;
-        change.commit()?;
+    /// Opens the store in a directory. If there is none, creates it with `new_id` as the ID of the replica.
+    pub fn open(directory: &Path, fleet: &str, new_id: ReplicaId) -> Result<Self, StoreError> {
+        let directory_error =
+            |source| StoreError::Directory { directory: directory.display().to_string(), source };
+        std::fs::create_dir_all(directory).map_err(directory_error)?;
+        let file = directory.join("registry.redb");
+        let database = Database::builder().set_cache_size(CACHE_BYTES).create(&file)?;
+        let transaction = database.begin_write()?;
+        transaction.open_table(LOG)?;
+        transaction.open_table(META)?;
+        transaction.commit()?;
         match read::<String>(&database, FLEET)? {
             None => {
-                let values = [(ID, encoded(&fresh)?), (FLEET, encoded(&fleet)?)];
+                let values = [(ID, encode(&new_id)?), (FLEET, encode(&fleet)?)];
                 write(&database, Durability::Immediate, &values)?;
             }
-            Some(kept) if kept != fleet => {
-                let (file, wanted) = (file.display().to_string(), fleet.to_owned());
-                return Err(StoreError::Fleet { file, kept, wanted });
+            Some(stored) if stored != fleet => {
+                let (file, expected) = (file.display().to_string(), fleet.to_owned());
+                return Err(StoreError::Fleet { file, stored, expected });
             }
             Some(_) => {}
         }
-        Ok(Self { database: Arc::new(database), file, trouble: Arc::default() })
+        Ok(Self { database: Arc::new(database), file, first_write_error: Arc::default() })
     }
 
-    /// The replica's name.
+    /// Returns the ID of the replica.
     pub fn id(&self) -> Result<ReplicaId, StoreError> {
         Ok(read(&self.database, ID)?.unwrap_or_default())
     }
 
-    /// Bytes of its file.
+    /// Returns the size of the database file in bytes.
     pub fn size(&self) -> u64 {
         std::fs::metadata(&self.file).map_or(0, |meta| meta.len())
     }
 
-    /// What could not be written, if anything.
-    pub fn trouble(&self) -> Option<String> {
-        self.trouble.lock().unwrap_or_else(PoisonError::into_inner).clone()
+    /// Returns the error of the first write that failed, if any.
+    pub fn first_write_error(&self) -> Option<String> {
+        self.first_write_error.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// The last snapshot.
-    pub async fn snapshot(&self) -> Result<Option<(Meta, State)>, StoreError> {
-        self.with(|database| {
-            let meta = read::<Meta>(database, SNAPSHOT_META)?;
-            let state = read::<State>(database, SNAPSHOT)?;
+    /// Reads the last snapshot.
+    pub async fn snapshot(&self) -> Result<Option<(SnapshotMetadata, RegistryState)>, StoreError> {
+        self.run_blocking(|database| {
+            let meta = read::<SnapshotMetadata>(database, SNAPSHOT_META)?;
+            let state = read::<RegistryState>(database, SNAPSHOT)?;
             Ok(meta.zip(state))
         })
         .await
     }
 
-    /// Keeps a snapshot in place of the last one, and gives its state back.
-    pub async fn keep_snapshot(&self, meta: Meta, state: State) -> Result<State, StoreError> {
-        self.change(move |database| {
-            let values = [(SNAPSHOT_META, encoded(&meta)?), (SNAPSHOT, encoded(&state)?)];
+    /// Replaces the last snapshot, and returns the state that was written.
+    pub async fn save_snapshot(
+        &self,
+        meta: SnapshotMetadata,
+        state: RegistryState,
+    ) -> Result<RegistryState, StoreError> {
+        self.run_write(move |database| {
+            let values = [(SNAPSHOT_META, encode(&meta)?), (SNAPSHOT, encode(&state)?)];
             write(database, Durability::Immediate, &values)?;
             Ok(state)
         })
         .await
     }
 
-    /// Runs what waits for the disk where nothing else waits.
-    async fn with<T: Send + 'static>(
+    /// Runs a blocking operation on the blocking thread pool.
+    async fn run_blocking<T: Send + 'static>(
         &self,
-        work: impl FnOnce(&Database) -> Result<T, StoreError> + Send + 'static,
+        operation: impl FnOnce(&Database) -> Result<T, StoreError> + Send + 'static,
     ) -> Result<T, StoreError> {
         let database = self.database.clone();
-        tokio::task::spawn_blocking(move || work(&database)).await.unwrap_or(Err(StoreError::Ends))
+        tokio::task::spawn_blocking(move || operation(&database)).await.unwrap_or(Err(StoreError::Cancelled))
     }
 
-    /// The same for a change. One that fails is remembered: the replica can't vouch for itself any more.
-    async fn change<T: Send + 'static>(
+    /// Runs a write on the blocking thread pool and records the first failure.
+    async fn run_write<T: Send + 'static>(
         &self,
-        work: impl FnOnce(&Database) -> Result<T, StoreError> + Send + 'static,
+        operation: impl FnOnce(&Database) -> Result<T, StoreError> + Send + 'static,
     ) -> Result<T, StoreError> {
-        let changed = self.with(work).await;
-        if let Err(error) = &changed {
-            let mut trouble = self.trouble.lock().unwrap_or_else(PoisonError::into_inner);
-            trouble.get_or_insert_with(|| error.to_string());
+        let result = self.run_blocking(operation).await;
+        if let Err(error) = &result {
+            let mut first_error = self.first_write_error.lock().unwrap_or_else(PoisonError::into_inner);
+            first_error.get_or_insert_with(|| error.to_string());
         }
-        changed
+        result
     }
 }
 
-fn reading(error: StoreError) -> StorageError {
+fn read_error(error: StoreError) -> StorageError {
     StorageIOError::read_logs(&error).into()
 }
 
-fn writing(error: StoreError) -> StorageError {
+fn write_error(error: StoreError) -> StorageError {
     StorageIOError::write_logs(&error).into()
 }
 
-/// Entries from a range, some at least if there are any.
-fn entries(
+/// Reads entries of a range up to a size limit, but at least one if the range is not empty.
+fn read_entries(
     database: &Database,
     range: (Bound<u64>, Bound<u64>),
-    most: usize,
+    max_bytes: usize,
 ) -> Result<Vec<openraft::Entry<Types>>, StoreError> {
     let table = database.begin_read()?.open_table(LOG)?;
     let (mut found, mut bytes) = (Vec::new(), 0);
     for item in table.range(range)? {
         let (_, value) = item?;
         bytes += value.value().len();
-        if bytes > most && !found.is_empty() {
+        if bytes > max_bytes && !found.is_empty() {
             break;
         }
         found.push(serde_json::from_slice(value.value())?);
@@ -223,7 +228,7 @@
         range: RB,
     ) -> Result<Vec<openraft::Entry<Types>>, StorageError> {
         let range = (range.start_bound().cloned(), range.end_bound().cloned());
-        self.with(move |database| entries(database, range, usize::MAX)).await.map_err(reading)
+        self.run_blocking(move |database| read_entries(database, range, usize::MAX)).await.map_err(read_error)
     }
 
     async fn limited_get_log_entries(
@@ -232,7 +237,9 @@
         end: u64,
     ) -> Result<Vec<openraft::Entry<Types>>, StorageError> {
         let range = (Bound::Included(start), Bound::Excluded(end));
-        self.with(move |database| entries(database, range, MOST_READ)).await.map_err(reading)
+        self.run_blocking(move |database| read_entries(database, range, MAX_READ_BYTES))
+            .await
+            .map_err(read_error)
     }
 }
 
@@ -241,7 +248,7 @@
 
     async fn get_log_state(&mut self) -> Result<LogState<Types>, StorageError> {
         let state = |database: &Database| {
-            let last_purged_log_id = read::<LogId>(database, PURGED)?;
+            let last_purged_log_id = read::<LogId>(database, LAST_PURGED)?;
             let table = database.begin_read()?.open_table(LOG)?;
             let last = match table.last()? {
                 Some((_, value)) => {
@@ -252,7 +259,7 @@
             };
             Ok(LogState { last_purged_log_id, last_log_id: last })
         };
-        self.with(state).await.map_err(reading)
+        self.run_blocking(state).await.map_err(read_error)
     }
 
     async fn get_log_reader(&mut self) -> Self {
@@ -262,26 +269,27 @@
     async fn save_vote(&mut self, vote: &Vote<ReplicaId>) -> Result<(), StorageError> {
         let vote = *vote;
         let saved =
-            self.change(move |database| write(database, Durability::Immediate, &[(VOTE, encoded(&vote)?)]));
+            self.run_write(move |database| write(database, Durability::Immediate, &[(VOTE, encode(&vote)?)]));
         saved.await.map_err(|error| StorageIOError::write_vote(&error).into())
     }
 
     async fn read_vote(&mut self) -> Result<Option<Vote<ReplicaId>>, StorageError> {
-        let vote = self.with(|database| read(database, VOTE)).await;
+        let vote = self.run_blocking(|database| read(database, VOTE)).await;
         vote.map_err(|error| StorageIOError::read_vote(&error).into())
     }
 
-    /// So that a replica that starts again has at once what it had before, and steps back for nobody. It goes to disk
-    /// with the next entries: what is lost with it is told again by the leader.
+    /// Saved so that a restarted replica applies committed entries at once and its list does not go backwards. Becomes
+    /// durable with the next append; if it is lost, the leader sends it again.
     async fn save_committed(&mut self, committed: Option<LogId>) -> Result<(), StorageError> {
-        let saved = self
-            .change(move |database| write(database, Durability::None, &[(COMMITTED, encoded(&committed)?)]));
-        saved.await.map_err(writing)
+        let saved = self.run_write(move |database| {
+            write(database, Durability::None, &[(COMMITTED, encode(&committed)?)])
+        });
+        saved.await.map_err(write_error)
     }
 
     async fn read_committed(&mut self) -> Result<Option<LogId>, StorageError> {
-        let committed = self.with(|database| read::<Option<LogId>>(database, COMMITTED)).await;
-        Ok(committed.map_err(reading)?.flatten())
+        let committed = self.run_blocking(|database| read::<Option<LogId>>(database, COMMITTED)).await;
+        Ok(committed.map_err(read_error)?.flatten())
     }
 
     async fn append<I>(&mut self, entries: I, callback: LogFlushed<Types>) -> Result<(), StorageError>
@@ -290,15 +298,15 @@
         I::IntoIter: OptionalSend,
     {
         let entries: Vec<openraft::Entry<Types>> = entries.into_iter().collect();
-        let appended = self.change(move |database| {
-            let change = database.begin_write()?;
+        let appended = self.run_write(move |database| {
+            let transaction = database.begin_write()?;
             {
-                let mut table = change.open_table(LOG)?;
+                let mut table = transaction.open_table(LOG)?;
                 for entry in &entries {
-                    table.insert(entry.get_log_id().index, encoded(entry)?.as_slice())?;
+                    table.insert(entry.get_log_id().index, encode(entry)?.as_slice())?;
                 }
             }
-            Ok(change.commit()?)
+            Ok(transaction.commit()?)
         });
         match appended.await {
             Ok(()) => {
@@ -307,27 +315,27 @@
             }
             Err(error) => {
                 callback.log_io_completed(Err(std::io::Error::other(error.to_string())));
-                Err(writing(error))
+                Err(write_error(error))
             }
         }
     }
 
     async fn truncate(&mut self, log_id: LogId) -> Result<(), StorageError> {
-        let truncated = self.change(move |database| {
-            let change = database.begin_write()?;
-            change.open_table(LOG)?.retain_in(log_id.index.., |_, _| false)?;
-            Ok(change.commit()?)
+        let truncated = self.run_write(move |database| {
+            let transaction = database.begin_write()?;
+            transaction.open_table(LOG)?.retain_in(log_id.index.., |_, _| false)?;
+            Ok(transaction.commit()?)
         });
-        truncated.await.map_err(writing)
+        truncated.await.map_err(write_error)
     }
 
     async fn purge(&mut self, log_id: LogId) -> Result<(), StorageError> {
-        let purged = self.change(move |database| {
-            let change = database.begin_write()?;
-            change.open_table(META)?.insert(PURGED, encoded(&log_id)?.as_slice())?;
-            change.open_table(LOG)?.retain_in(..=log_id.index, |_, _| false)?;
-            Ok(change.commit()?)
+        let purged = self.run_write(move |database| {
+            let transaction = database.begin_write()?;
+            transaction.open_table(META)?.insert(LAST_PURGED, encode(&log_id)?.as_slice())?;
+            transaction.open_table(LOG)?.retain_in(..=log_id.index, |_, _| false)?;
+            Ok(transaction.commit()?)
         });
-        purged.await.map_err(writing)
+        purged.await.map_err(write_error)
     }
 }
