--- a/registry/src/http.rs
+++ b/registry/src/http.rs
@@ -19,7 +19,9 @@
 use tokio::time::{Instant, timeout_at};
 
 use crate::list::Rev;
-use crate::peers::{APPEND, FLEET, MOST_MESSAGE, SNAPSHOT, TO, VOTE, Whole};
+use crate::peers::{
+    APPEND_PATH, FLEET_HEADER, MAX_MESSAGE_BYTES, REPLICA_HEADER, SNAPSHOT_PATH, SnapshotMessage, VOTE_PATH,
+};
 use crate::replica::{DO, ELECT, MOST_LIVES, Operation, Replica, Trouble, WHO};
 use crate::wire::{BackupPart, ErrorBody, InstanceKey, Renewal, ReplicaChange, SuspectDecision, Target};
 
@@ -68,7 +70,7 @@
         .route("/registry/status", get(async |State(own): Own| json(&own.status())))
         .route("/health/live", get(async || "live\n"))
         .route("/health/ready", get(ready))
-        .route("/metrics", get(async |State(own): Own| own.figures.text(&own.levels())))
+        .route("/metrics", get(async |State(own): Own| own.metrics.text(&own.gauges())))
         .fallback(async || Trouble::refused(404, "no such path"))
         .method_not_allowed_fallback(async || Trouble::refused(405, "not by this method"))
         .layer(DefaultBodyLimit::max(MOST_CALL))
@@ -78,9 +80,9 @@
 /// Calls of the other replicas.
 pub fn peers(replica: Arc<Replica>) -> Router {
     Router::new()
-        .route(APPEND, post(append))
-        .route(VOTE, post(vote))
-        .route(SNAPSHOT, post(snapshot))
+        .route(APPEND_PATH, post(append))
+        .route(VOTE_PATH, post(vote))
+        .route(SNAPSHOT_PATH, post(snapshot))
         .route(WHO, post(async |State(own): Own| json(&own.who().await)))
         .route(ELECT, post(async |State(own): Own| own.stand().await.map(|done| json(&done))))
         .route(DO, post(async |State(own): Own, body: Bytes| perform(&own, parsed(&body)?, true).await))
@@ -90,17 +92,17 @@
         )
         .fallback(async || Trouble::refused(404, "no such path"))
         .layer(from_fn_with_state(replica.clone(), meant))
-        .layer(DefaultBodyLimit::max(MOST_MESSAGE))
+        .layer(DefaultBodyLimit::max(MAX_MESSAGE_BYTES))
         .with_state(replica)
 }
 
 /// Lets through what is for this fleet and this replica.
 async fn meant(State(own): Own, headers: HeaderMap, request: Request, next: Next) -> Response {
     let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
-    if text(FLEET) != Some(own.settings().fleet.as_str()) {
+    if text(FLEET_HEADER) != Some(own.settings().fleet.as_str()) {
         return Trouble::refused(421, "this is a replica of another fleet").into_response();
     }
-    if text(TO).is_some_and(|to| to != own.id().to_string()) {
+    if text(REPLICA_HEADER).is_some_and(|to| to != own.id().to_string()) {
         return Trouble::refused(421, format!("this is replica {}", own.id())).into_response();
     }
     next.run(request).await
@@ -115,7 +117,7 @@
 }
 
 async fn snapshot(State(own): Own, body: Bytes) -> Result<Response, Trouble> {
-    let Whole { vote, meta, state } = parsed(&body)?;
+    let SnapshotMessage { vote, meta, state } = parsed(&body)?;
     let snapshot = Snapshot { meta, snapshot: Box::new(state) };
     Ok(json(&own.raft().install_full_snapshot(vote, snapshot).await))
 }
@@ -160,7 +162,7 @@
 }
 
 async fn ready(State(own): Own) -> Result<&'static str, Trouble> {
-    own.unready().map_or(Ok("ready\n"), |reason| Err(Trouble::later(reason)))
+    own.not_ready_reason().map_or(Ok("ready\n"), |reason| Err(Trouble::later(reason)))
 }
 
 /// What a watcher asks.
@@ -235,8 +237,8 @@
         // Nothing new is an answer too.
         let _ = timeout_at(began + watch.hold, revs.wait_for(|rev| Some(*rev) != watch.from)).await;
     }
-    own.figures.answers.inc();
-    let mut response = Response::new(Body::from(own.hub.answer(watch.from)));
+    own.metrics.lists_answered.inc();
+    let mut response = Response::new(Body::from(own.response_cache.get(watch.from)));
     let headers = response.headers_mut();
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
     let age = match own.age() {
--- a/registry/src/metrics/tests.rs
+++ b/registry/src/metrics/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
 #[test]
-fn the_text_has_every_figure_once() {
-    let figures = Figures::default();
-    figures.renewals.inc_by(3);
-    let text = figures.text(&Levels { rev: 41, leads: true, ..Levels::default() });
+fn the_text_contains_every_metric_once() {
+    let metrics = Metrics::default();
+    metrics.renewals.inc_by(3);
+    let text = metrics.text(&Gauges { rev: 41, is_leader: true, ..Gauges::default() });
     assert!(text.contains("flaxdale_registry_renewals_total 3\n"), "{text}");
     assert!(text.contains("flaxdale_registry_changes 41.0\n"), "{text}");
     assert!(
--- a/registry/src/peers.rs
+++ b/registry/src/peers.rs
@@ -1,6 +1,6 @@
-//! Between replicas: the consensus library's messages as JSON over HTTP, and what one replica asks of another. Each call
-//! names the fleet and the replica that is meant, so that a message for one that lost its store, or for another fleet's
-//! at the same address, is turned away.
+//! Communication between replicas: Raft messages and other calls, as JSON over HTTP. Each call names the fleet and may
+//! name the replica, so that a replica of another fleet, or one that has lost its store, rejects calls that are not meant
+//! for it.
 
 use std::collections::{BTreeMap, HashMap};
 use std::error::Error;
@@ -25,134 +25,140 @@
 use crate::raft::{Place, ReplicaId, Types};
 use crate::state_machine::RegistryState;
 
-/// Headers that name the fleet and the replica that is meant.
-pub const FLEET: &str = "x-registry-fleet";
-/// See [`FLEET`].
-pub const TO: &str = "x-registry-to";
-/// Where the library's messages go.
-pub const APPEND: &str = "/raft/append";
-/// See [`APPEND`].
-pub const VOTE: &str = "/raft/vote";
-/// See [`APPEND`].
-pub const SNAPSHOT: &str = "/raft/snapshot";
-/// Bytes of a message: a snapshot of a full list fits, with its history.
-pub const MOST_MESSAGE: usize = 64 * 1024 * 1024;
-/// Connections to one replica that are kept.
-const MOST_KEPT: usize = 16;
-/// A replica that can't be reached is tried again after this.
-const AGAIN: Duration = Duration::from_millis(200);
-
-/// A snapshot on its way.
+/// Header with the name of the fleet.
+pub const FLEET_HEADER: &str = "x-registry-fleet";
+/// Header with the ID of the replica that the call is meant for.
+pub const REPLICA_HEADER: &str = "x-registry-to";
+/// Path of the append-entries RPC.
+pub const APPEND_PATH: &str = "/raft/append";
+/// Path of the vote RPC.
+pub const VOTE_PATH: &str = "/raft/vote";
+/// Path of the snapshot RPC.
+pub const SNAPSHOT_PATH: &str = "/raft/snapshot";
+/// Size limit of a message. A snapshot of a full list with its history fits.
+pub const MAX_MESSAGE_BYTES: usize = 64 * 1024 * 1024;
+/// Maximum number of idle connections to one replica.
+const MAX_IDLE_CONNECTIONS: usize = 16;
+/// Interval between attempts to reach an unreachable replica.
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
+
+/// The body of the snapshot RPC.
 #[derive(Serialize, Deserialize)]
-pub struct Whole {
+pub struct SnapshotMessage {
     /// The leader's vote.
     pub vote: Vote<ReplicaId>,
-    /// What it is a snapshot of.
+    /// The log position and membership of the snapshot.
     pub meta: SnapshotMeta<ReplicaId, Place>,
     /// The state.
     pub state: RegistryState,
 }
 
-/// Connections to the other replicas.
+/// A connection pool to the other replicas.
 #[derive(Clone)]
-pub struct Peers {
+pub struct PeerPool {
     fleet: String,
     via: Arc<BTreeMap<SocketAddr, SocketAddr>>,
-    kept: Arc<Mutex<HashMap<SocketAddr, Vec<HttpClient>>>>,
-    silent: Arc<AtomicBool>,
+    idle: Arc<Mutex<HashMap<SocketAddr, Vec<HttpClient>>>>,
+    suppressed: Arc<AtomicBool>,
 }
 
-impl Peers {
-    /// Those of a fleet; some may be reached at another address than their own.
+impl PeerPool {
+    /// Creates a pool. `via` maps peer addresses to the addresses to connect to, as with a proxy.
     pub fn new(fleet: &str, via: BTreeMap<SocketAddr, SocketAddr>) -> Self {
-        Self { fleet: fleet.to_owned(), via: Arc::new(via), kept: Arc::default(), silent: Arc::default() }
+        Self { fleet: fleet.to_owned(), via: Arc::new(via), idle: Arc::default(), suppressed: Arc::default() }
     }
 
-    /// Whether what a leader sends is kept back. The others then take it for gone, and one of them may lead.
-    pub fn keep_silent(&self, silent: bool) {
-        self.silent.store(silent, Ordering::Relaxed);
+    /// Stops or resumes sending the messages of a leader. While they are stopped, the other replicas can elect another
+    /// leader.
+    pub fn suppress_leader_messages(&self, suppressed: bool) {
+        self.suppressed.store(suppressed, Ordering::Relaxed);
     }
 
-    /// See [`Peers::keep_silent`].
-    pub fn is_silent(&self) -> bool {
-        self.silent.load(Ordering::Relaxed)
+    /// Returns whether leader messages are suppressed.
+    pub fn is_suppressed(&self) -> bool {
+        self.suppressed.load(Ordering::Relaxed)
     }
 
-    /// Makes a call to a replica. `to` names the one that is meant, where only that one may answer.
+    /// Sends a call to a replica. If `to` is given, only the replica with this ID processes it.
     pub async fn call(
         &self,
         peer: SocketAddr,
         to: Option<ReplicaId>,
         mut call: Call,
     ) -> Result<Response, CallError> {
-        call.headers.push((FLEET, self.fleet.clone()));
+        call.headers.push((FLEET_HEADER, self.fleet.clone()));
         if let Some(to) = to {
-            call.headers.push((TO, to.to_string()));
+            call.headers.push((REPLICA_HEADER, to.to_string()));
         }
-        let at = self.via.get(&peer).copied().unwrap_or(peer);
-        let kept = || self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-        let link = kept().get_mut(&at).and_then(Vec::pop);
-        let mut link = link.unwrap_or_else(|| HttpClient::new(at));
-        let answer = link.call(&call).await?;
-        let mut kept = kept();
-        let links = kept.entry(at).or_default();
-        if links.len() < MOST_KEPT {
-            links.push(link);
+        let address = self.via.get(&peer).copied().unwrap_or(peer);
+        let idle = || self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        let connection = idle().get_mut(&address).and_then(Vec::pop);
+        let mut connection = connection.unwrap_or_else(|| HttpClient::new(address));
+        let response = connection.call(&call).await?;
+        let mut idle = idle();
+        let idle_connections = idle.entry(address).or_default();
+        if idle_connections.len() < MAX_IDLE_CONNECTIONS {
+            idle_connections.push(connection);
         }
-        Ok(answer)
+        Ok(response)
     }
 }
 
-impl RaftNetworkFactory<Types> for Peers {
-    type Network = Peer;
+impl RaftNetworkFactory<Types> for PeerPool {
+    type Network = PeerClient;
 
-    async fn new_client(&mut self, target: ReplicaId, node: &Place) -> Peer {
-        Peer { target, place: *node, peers: self.clone() }
+    async fn new_client(&mut self, target: ReplicaId, node: &Place) -> PeerClient {
+        PeerClient { target, place: *node, peers: self.clone() }
     }
 }
 
-/// One replica, as the library sends to it.
-pub struct Peer {
+/// The openraft network client of one replica.
+pub struct PeerClient {
     target: ReplicaId,
     place: Place,
-    peers: Peers,
+    peers: PeerPool,
 }
 
-impl Peer {
-    /// Sends a message and takes the answer, which may be the other replica's error `E`. What can go wrong is worded in the
-    /// library's terms for this kind of message.
-    async fn send<Q, A, E, X>(&self, path: &str, message: &Q, patience: Duration) -> Result<A, X>
+impl PeerClient {
+    /// Sends an RPC and returns its response. `RemoteErr` is the error type of the remote replica, `RpcErr` that of this
+    /// RPC in openraft.
+    async fn send<Req, Resp, RemoteErr, RpcErr>(
+        &self,
+        path: &str,
+        message: &Req,
+        timeout: Duration,
+    ) -> Result<Resp, RpcErr>
     where
-        Q: Serialize,
-        A: DeserializeOwned,
-        E: Error + DeserializeOwned,
-        X: From<Unreachable> + From<NetworkError> + From<RemoteError<ReplicaId, Place, E>>,
+        Req: Serialize,
+        Resp: DeserializeOwned,
+        RemoteErr: Error + DeserializeOwned,
+        RpcErr: From<Unreachable> + From<NetworkError> + From<RemoteError<ReplicaId, Place, RemoteErr>>,
     {
-        let unreachable = |text: String| X::from(Unreachable::new(&std::io::Error::other(text)));
-        if path != VOTE && self.peers.is_silent() {
-            return Err(unreachable("kept back".to_owned()));
+        let unreachable = |text: String| RpcErr::from(Unreachable::new(&std::io::Error::other(text)));
+        if path != VOTE_PATH && self.peers.is_suppressed() {
+            return Err(unreachable("leader messages are suppressed".to_owned()));
         }
         let body = serde_json::to_vec(message).map_err(|error| NetworkError::new(&error))?;
-        let call = Call::post(path, body, patience, MOST_MESSAGE);
-        let answer = self.peers.call(self.place.peer, Some(self.target), call).await;
-        let answer = answer.map_err(|error| unreachable(error.to_string()))?;
-        if answer.status != hyper::StatusCode::OK {
-            let reason = String::from_utf8_lossy(&answer.body);
-            return Err(unreachable(format!("{}: {reason}", answer.status)));
+        let call = Call::post(path, body, timeout, MAX_MESSAGE_BYTES);
+        let response = self.peers.call(self.place.peer, Some(self.target), call).await;
+        let response = response.map_err(|error| unreachable(error.to_string()))?;
+        if response.status != hyper::StatusCode::OK {
+            let reason = String::from_utf8_lossy(&response.body);
+            return Err(unreachable(format!("{}: {reason}", response.status)));
         }
-        let answer: Result<A, E> =
-            serde_json::from_slice(&answer.body).map_err(|error| unreachable(error.to_string()))?;
-        answer.map_err(|error| RemoteError::new_with_node(self.target, self.place, error).into())
+        let response: Result<Resp, RemoteErr> =
+            serde_json::from_slice(&response.body).map_err(|error| unreachable(error.to_string()))?;
+        response.map_err(|error| RemoteError::new_with_node(self.target, self.place, error).into())
     }
 }
 
-impl RaftNetwork<Types> for Peer {
+impl RaftNetwork<Types> for PeerClient {
     async fn append_entries(
         &mut self,
         rpc: AppendEntriesRequest<Types>,
         option: RPCOption,
     ) -> Result<AppendEntriesResponse<ReplicaId>, RPCError<ReplicaId, Place, RaftError<ReplicaId>>> {
-        self.send(APPEND, &rpc, option.hard_ttl()).await
+        self.send(APPEND_PATH, &rpc, option.hard_ttl()).await
     }
 
     async fn vote(
@@ -160,7 +166,7 @@
         rpc: VoteRequest<ReplicaId>,
         option: RPCOption,
     ) -> Result<VoteResponse<ReplicaId>, RPCError<ReplicaId, Place, RaftError<ReplicaId>>> {
-        self.send(VOTE, &rpc, option.hard_ttl()).await
+        self.send(VOTE_PATH, &rpc, option.hard_ttl()).await
     }
 
     async fn full_snapshot(
@@ -170,14 +176,14 @@
         cancel: impl Future<Output = ReplicationClosed> + OptionalSend + 'static,
         option: RPCOption,
     ) -> Result<SnapshotResponse<ReplicaId>, StreamingError<Types, Fatal<ReplicaId>>> {
-        let whole = Whole { vote, meta: snapshot.meta, state: *snapshot.snapshot };
+        let message = SnapshotMessage { vote, meta: snapshot.meta, state: *snapshot.snapshot };
         tokio::select! {
             closed = cancel => Err(closed.into()),
-            sent = self.send(SNAPSHOT, &whole, option.hard_ttl()) => sent,
+            sent = self.send(SNAPSHOT_PATH, &message, option.hard_ttl()) => sent,
         }
     }
 
     fn backoff(&self) -> Backoff {
-        Backoff::new(std::iter::repeat(AGAIN))
+        Backoff::new(std::iter::repeat(RETRY_INTERVAL))
     }
 }
--- a/registry/src/replica/consensus.rs
+++ b/registry/src/replica/consensus.rs
@@ -66,8 +66,8 @@
                 waiting.push(told);
             }
             let count = commands.len() as u64;
-            self.figures.commands.inc_by(count);
-            self.figures.entries.inc();
+            self.metrics.commands.inc_by(count);
+            self.metrics.log_entries.inc();
             let told = match timeout(WRITE, self.raft.client_write(commands)).await {
                 Ok(Ok(response)) => Ok(response.data),
                 Ok(Err(RaftError::APIError(ClientWriteError::ForwardToLeader(_)))) => {
@@ -108,7 +108,7 @@
                 waiting.push(next);
             }
             let at = Instant::now();
-            self.figures.rounds.inc();
+            self.metrics.confirmations.inc();
             let confirmed = if self.leaving.load(Ordering::Relaxed) {
                 // A round would be heard as a sign of life, and the lead could not pass.
                 Err(Trouble::later("the lead is being handed over"))
--- a/registry/src/replica/leadership.rs
+++ b/registry/src/replica/leadership.rs
@@ -54,13 +54,13 @@
     }
 
     pub(super) fn fall_silent(&self, silent: bool) {
-        if self.leaving.load(Ordering::Relaxed) || self.peers.is_silent() == silent {
+        if self.leaving.load(Ordering::Relaxed) || self.peers.is_suppressed() == silent {
             return;
         }
         if silent {
             tracing::warn!("no majority answers: falls silent, so that another one may lead");
         }
-        self.peers.keep_silent(silent);
+        self.peers.suppress_leader_messages(silent);
     }
 
     /// After each election that this replica stood in and did not win, it waits for a while drawn anew. The library draws
@@ -92,7 +92,7 @@
         }
         let leases = Leases::new(self.settings.lease_policy(), &self.shared.read().list, self.now());
         tracing::info!(term, leases = leases.len(), rev = self.rev(), "leads: every lease has its full time");
-        self.figures.terms.inc();
+        self.metrics.terms_led.inc();
         *lock(&self.office) = Some(Office { term, leases });
     }
 
@@ -105,7 +105,7 @@
             office.leases.expire(&state.list, now)
         };
         for command in commands {
-            self.figures.lapses.inc();
+            self.metrics.lapses.inc();
             match &command {
                 Command::Suspect(lives) => {
                     tracing::warn!(count = lives.len(), "too many leases lapsed at once: held as suspects");
@@ -138,7 +138,7 @@
                 }
             }
         }
-        self.figures.renewals.inc_by((renewal.lives.len() - unknown.len()) as u64);
+        self.metrics.renewals.inc_by((renewal.lives.len() - unknown.len()) as u64);
         if !cleared.is_empty() {
             self.write(Command::Clear(cleared)).await?;
         }
--- a/registry/src/replica/membership.rs
+++ b/registry/src/replica/membership.rs
@@ -99,12 +99,12 @@
             return Err(Trouble::later("the lead is being handed over"));
         }
         tracing::info!(replica = to, %peer, "hands the lead over");
-        self.peers.keep_silent(true);
+        self.peers.suppress_leader_messages(true);
         sleep(Duration::from_millis(2 * self.settings.election_ms + self.settings.heartbeat_ms / 2)).await;
         let stood: Result<Value, Trouble> = self.ask(peer, Some(to), ELECT, &json!({}), CONFIRM).await;
         let taken = self.raft.wait(Some(Duration::from_secs(3)));
         let taken = taken.metrics(|metrics| metrics.current_leader == Some(to), "the lead passes").await;
-        self.peers.keep_silent(false);
+        self.peers.suppress_leader_messages(false);
         self.leaving.store(false, Ordering::Relaxed);
         stood?;
         taken.map_err(|_| Trouble::later(format!("replica {peer} was not elected")))?;
--- a/registry/src/replica/mod.rs
+++ b/registry/src/replica/mod.rs
@@ -23,10 +23,10 @@
 
 use crate::leases::Leases;
 use crate::list::{Command, Instance, Rev, revision_floor};
-use crate::metrics::Figures;
-use crate::peers::Peers;
+use crate::metrics::Metrics;
+use crate::peers::PeerPool;
 use crate::raft::{Applied, Place, Raft, ReplicaId};
-use crate::response_cache::Hub;
+use crate::response_cache::ResponseCache;
 use crate::settings::Settings;
 use crate::state_machine::{SharedState, StateMachine};
 use crate::store::{Store, StoreError};
@@ -165,11 +165,11 @@
     raft: Raft,
     store: Store,
     shared: Arc<SharedState>,
-    peers: Peers,
+    peers: PeerPool,
     /// Answers to watchers.
-    pub hub: Hub,
+    pub response_cache: ResponseCache,
     /// What it counts.
-    pub figures: Figures,
+    pub metrics: Metrics,
     /// Watches that wait.
     pub watches: AtomicUsize,
     /// Client connections.
@@ -217,7 +217,7 @@
             ..Config::default()
         };
         let config = Arc::new(config.validate().map_err(|error| raft_of(&error))?);
-        let peers = Peers::new(&settings.fleet, settings.via.clone());
+        let peers = PeerPool::new(&settings.fleet, settings.via.clone());
         let state_machine = StateMachine::open(store.clone()).await.map_err(|error| raft_of(&error))?;
         let shared = state_machine.shared();
         let raft = Raft::new(id, config, peers.clone(), store.clone(), state_machine).await;
@@ -229,10 +229,10 @@
             id,
             raft,
             store,
-            hub: Hub::new(shared.clone()),
+            response_cache: ResponseCache::new(shared.clone()),
             shared,
             peers,
-            figures: Figures::default(),
+            metrics: Metrics::default(),
             watches: AtomicUsize::new(0),
             connections: Arc::default(),
             office: Mutex::default(),
@@ -306,7 +306,7 @@
     }
 
     /// Why it is not ready, if it is not: it has to vouch for its list, and to know a leader.
-    pub fn unready(&self) -> Option<String> {
+    pub fn not_ready_reason(&self) -> Option<String> {
         if let Some(trouble) = self.trouble() {
             return Some(trouble);
         }
@@ -361,7 +361,7 @@
             },
         };
         if done.is_err() {
-            self.figures.refusals.inc();
+            self.metrics.calls_refused.inc();
         }
         done
     }
--- a/registry/src/replica/status.rs
+++ b/registry/src/replica/status.rs
@@ -1,4 +1,4 @@
-//! How a replica stands, for figures, people and scripts.
+//! The status and gauges of a replica.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering;
@@ -6,50 +6,50 @@
 use serde_json::{Value, json};
 
 use super::Replica;
-use crate::list::{Line, State as Stage};
-use crate::metrics::Levels;
+use crate::list::{Line, State as InstanceState};
+use crate::metrics::Gauges;
 
 impl Replica {
-    /// What its figures are read from.
-    pub fn levels(&self) -> Levels {
-        let metrics = self.raft.metrics().borrow().clone();
+    /// Returns the current values of the gauges.
+    pub fn gauges(&self) -> Gauges {
+        let raft_metrics = self.raft.metrics().borrow().clone();
         let state = self.shared.read();
-        Levels {
+        Gauges {
             rev: state.list.rev(),
             instances: state.list.lines().count(),
             suspects: state.list.lines().filter(|line| line.suspect).count(),
             watches: self.watches.load(Ordering::Relaxed),
             connections: self.connections.load(Ordering::Relaxed),
-            leads: metrics.current_leader == Some(self.id),
-            term: metrics.current_term,
-            applied: metrics.last_applied.map_or(0, |id| id.index),
-            age_s: self.age().map(|age| age.as_secs_f64()),
-            store: self.store.size(),
+            is_leader: raft_metrics.current_leader == Some(self.id),
+            term: raft_metrics.current_term,
+            applied_index: raft_metrics.last_applied.map_or(0, |id| id.index),
+            list_age_s: self.age().map(|age| age.as_secs_f64()),
+            store_bytes: self.store.size(),
         }
     }
 
-    /// How it stands, for a person or a script.
+    /// Returns the status of the replica and its registry as JSON.
     pub fn status(&self) -> Value {
-        let metrics = self.raft.metrics().borrow().clone();
-        let (levels, unready) = (self.levels(), self.unready());
+        let raft_metrics = self.raft.metrics().borrow().clone();
+        let (gauges, not_ready_reason) = (self.gauges(), self.not_ready_reason());
         let voters = self.voters();
         let replicas: Vec<Value> = self
             .members()
             .into_iter()
             .map(|(id, place)| {
-                let behind = metrics.replication.as_ref().and_then(|all| all.get(&id)).map(|at| {
-                    metrics.last_log_index.unwrap_or(0).saturating_sub(at.map_or(0, |at| at.index))
+                let behind = raft_metrics.replication.as_ref().and_then(|all| all.get(&id)).map(|at| {
+                    raft_metrics.last_log_index.unwrap_or(0).saturating_sub(at.map_or(0, |at| at.index))
                 });
                 json!({"id": id, "peer": place.peer, "client": place.client, "votes": voters.contains(&id),
-                    "leads": metrics.current_leader == Some(id), "entries_behind": behind})
+                    "leads": raft_metrics.current_leader == Some(id), "entries_behind": behind})
             })
             .collect();
         let mut zones: BTreeMap<String, (u64, u64, u64)> = BTreeMap::new();
         let state = self.shared.read();
         for Line { instance, state, suspect, .. } in state.list.lines() {
             let zone = zones.entry(instance.zone.clone()).or_default();
-            zone.0 += u64::from(*state == Stage::Ready);
-            zone.1 += u64::from(*state == Stage::Terminating);
+            zone.0 += u64::from(*state == InstanceState::Ready);
+            zone.1 += u64::from(*state == InstanceState::Terminating);
             zone.2 += u64::from(*suspect);
         }
         let zones: BTreeMap<String, Value> = zones
@@ -59,14 +59,14 @@
             })
             .collect();
         json!({
-            "fleet": self.settings.fleet, "id": self.id, "leads": levels.leads,
-            "ready": unready.is_none(), "unready": unready,
-            "term": levels.term, "applied": levels.applied, "log": metrics.last_log_index,
-            "snapshot": metrics.snapshot.map(|id| id.index), "purged": metrics.purged.map(|id| id.index),
-            "incarnation": state.list.incarnation(), "rev": levels.rev,
+            "fleet": self.settings.fleet, "id": self.id, "leads": gauges.is_leader,
+            "ready": not_ready_reason.is_none(), "unready": not_ready_reason,
+            "term": gauges.term, "applied": gauges.applied_index, "log": raft_metrics.last_log_index,
+            "snapshot": raft_metrics.snapshot.map(|id| id.index), "purged": raft_metrics.purged.map(|id| id.index),
+            "incarnation": state.list.incarnation(), "rev": gauges.rev,
             "age_ms": self.age().map(|age| age.as_millis() as u64),
-            "replicas": replicas, "zones": zones, "watches": levels.watches,
-            "connections": levels.connections, "store_bytes": levels.store,
+            "replicas": replicas, "zones": zones, "watches": gauges.watches,
+            "connections": gauges.connections, "store_bytes": gauges.store_bytes,
         })
     }
 }
--- a/registry/src/response_cache.rs
+++ b/registry/src/response_cache.rs
@@ -1,4 +1,4 @@
-//! Answers to watchers. All who have one version and are told of one change get the same bytes, which are made once.
+//! A cache of serialized responses to watchers. Watchers that hold the same revision share one response.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -9,50 +9,50 @@
 use crate::state_machine::SharedState;
 use crate::wire::Listing;
 
-/// Answers to one version that are kept: one for each version that some watcher still has.
-const MOST_KEPT: usize = 64;
+/// Maximum number of cached responses at the current revision, one for each revision that watchers hold.
+const MAX_CACHED_RESPONSES: usize = 64;
 
-/// Makes answers.
-pub struct Hub {
+/// Creates and caches the responses at the current revision.
+pub struct ResponseCache {
     shared: Arc<SharedState>,
-    kept: Mutex<Kept>,
+    cached: Mutex<CachedResponses>,
 }
 
 #[derive(Default)]
-struct Kept {
+struct CachedResponses {
     rev: Rev,
-    answers: HashMap<Option<Rev>, Bytes>,
+    responses: HashMap<Option<Rev>, Bytes>,
 }
 
-impl Hub {
-    /// Answers from this state.
+impl ResponseCache {
+    /// Creates an empty cache for a state.
     pub fn new(shared: Arc<SharedState>) -> Self {
-        Self { shared, kept: Mutex::default() }
+        Self { shared, cached: Mutex::default() }
     }
 
-    /// What a watcher that has version `from` is told now; the whole list if it has none.
-    pub fn answer(&self, from: Option<Rev>) -> Bytes {
-        // Held while the answer is made: whoever wants the same one waits for it.
-        let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
+    /// Returns the response for a watcher at revision `from`; the full list if that is `None`.
+    pub fn get(&self, from: Option<Rev>) -> Bytes {
+        // The lock is held during serialization, so that concurrent requests for the same response share it.
+        let mut cached = self.cached.lock().unwrap_or_else(PoisonError::into_inner);
         let state = self.shared.read();
         let list = &state.list;
-        if kept.rev != list.rev() {
-            *kept = Kept { rev: list.rev(), answers: HashMap::new() };
+        if cached.rev != list.rev() {
+            *cached = CachedResponses { rev: list.rev(), responses: HashMap::new() };
         }
-        if let Some(answer) = kept.answers.get(&from) {
-            return answer.clone();
+        if let Some(response) = cached.responses.get(&from) {
+            return response.clone();
         }
-        let told = match from {
+        let update = match from {
             None => list.full(),
             Some(from) => list.changes_since(from).unwrap_or_else(|| list.no_changes()),
         };
-        let listing = Listing::new(&told, list.incarnation());
+        let listing = Listing::new(&update, list.incarnation());
         drop(state);
-        // Plain fields, which always can be written.
-        let answer = Bytes::from(serde_json::to_vec(&listing).unwrap_or_default());
-        if kept.answers.len() < MOST_KEPT {
-            kept.answers.insert(from, answer.clone());
+        // Serialization can't fail: the fields are plain values.
+        let response = Bytes::from(serde_json::to_vec(&listing).unwrap_or_default());
+        if cached.responses.len() < MAX_CACHED_RESPONSES {
+            cached.responses.insert(from, response.clone());
         }
-        answer
+        response
     }
 }
--- a/registry/src/serve.rs
+++ b/registry/src/serve.rs
@@ -122,7 +122,7 @@
             }
         };
         if open.load(Ordering::Relaxed) >= most {
-            replica.figures.refusals.inc();
+            replica.metrics.calls_refused.inc();
             continue;
         }
         let counted = Open::one(&open);
@@ -187,7 +187,7 @@
     if let Err(error) = done {
         let cause = std::error::Error::source(&error).and_then(|cause| cause.downcast_ref::<io::Error>());
         if cause.is_some_and(|cause| cause.kind() == io::ErrorKind::TimedOut) {
-            replica.figures.slow.inc();
+            replica.metrics.peers_too_slow.inc();
         }
         tracing::debug!(cause = %error, "the connection broke");
     }
