--- a/registry/src/client.rs
+++ b/registry/src/client.rs
@@ -1,4 +1,4 @@
-//! A caller for tools and tests: asks one replica after the other until one does what is wanted.
+//! A registry client for tools and tests, which tries the replicas one after another.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,85 +10,85 @@
 
 use crate::wire::ErrorBody;
 
-/// A list of thousands fits, a backup too.
-const MOST_ANSWER: usize = 64 * 1024 * 1024;
-/// Longer than a replica takes to say that it does not know.
-const PATIENCE: Duration = Duration::from_secs(6);
+/// Size limit of a response, which may be a backup of the full list.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
+/// Longer than a replica takes to report that the outcome of a call is unknown.
+const CALL_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Why nothing came of a call.
+/// Why a call failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
-    /// A replica says no: asking another one would not help.
+    /// The registry rejected the call: another replica would do the same.
     #[error("{text}")]
     Refused {
         /// The HTTP status.
         status: u16,
-        /// The reason.
+        /// The error message.
         text: String,
     },
-    /// No replica can say.
-    #[error("no replica did it: {0}")]
+    /// No replica could process the call.
+    #[error("no replica could process the call: {0}")]
     Unavailable(String),
-    /// What came back makes no sense.
-    #[error("{at}: {source}")]
+    /// A response can't be decoded.
+    #[error("malformed response from {address}: {source}")]
     Malformed {
-        /// Who answered.
-        at: SocketAddr,
-        /// What is wrong.
+        /// The address of the replica.
+        address: SocketAddr,
+        /// The decoding error.
         source: serde_json::Error,
     },
 }
 
-/// Asks a registry.
+/// A client of a registry.
 pub struct Client {
-    links: Vec<HttpClient>,
+    replicas: Vec<HttpClient>,
 }
 
 impl Client {
-    /// One that knows these replicas, by their addresses for clients.
+    /// Creates a client of the replicas with these client addresses.
     pub fn new(addresses: &[SocketAddr]) -> Self {
-        Self { links: addresses.iter().map(|at| HttpClient::new(*at)).collect() }
+        Self { replicas: addresses.iter().map(|address| HttpClient::new(*address)).collect() }
     }
 
-    /// What a path answers.
-    pub async fn get<A: DeserializeOwned>(&mut self, path: &str) -> Result<A, ClientError> {
-        self.ask(&Call::get(path, PATIENCE, MOST_ANSWER)).await
+    /// Sends a GET request.
+    pub async fn get<Resp: DeserializeOwned>(&mut self, path: &str) -> Result<Resp, ClientError> {
+        self.send(&Call::get(path, CALL_TIMEOUT, MAX_RESPONSE_BYTES)).await
     }
 
-    /// Asks for something to be done. It may be carried out twice if an answer was lost: what the registry does on being
-    /// asked twice is what it does on being asked once.
-    pub async fn post<A: DeserializeOwned>(
+    /// Sends a POST request. It may be processed more than once if a response is lost; the calls of the registry are
+    /// idempotent.
+    pub async fn post<Resp: DeserializeOwned>(
         &mut self,
         path: &str,
         body: &impl Serialize,
-    ) -> Result<A, ClientError> {
+    ) -> Result<Resp, ClientError> {
         let body = serde_json::to_vec(body).map_err(|error| ClientError::Unavailable(error.to_string()))?;
-        self.ask(&Call::post(path, body, PATIENCE, MOST_ANSWER)).await
+        self.send(&Call::post(path, body, CALL_TIMEOUT, MAX_RESPONSE_BYTES)).await
     }
 
-    async fn ask<A: DeserializeOwned>(&mut self, call: &Call) -> Result<A, ClientError> {
-        let mut reasons = Vec::new();
-        for link in &mut self.links {
-            let at = link.address();
-            let answer = match link.call(call).await {
-                Ok(answer) => answer,
+    async fn send<Resp: DeserializeOwned>(&mut self, call: &Call) -> Result<Resp, ClientError> {
+        let mut errors = Vec::new();
+        for replica in &mut self.replicas {
+            let address = replica.address();
+            let response = match replica.call(call).await {
+                Ok(response) => response,
                 Err(error @ (CallError::Connect(_) | CallError::Http(_) | CallError::Timeout)) => {
-                    reasons.push(format!("{at}: {error}"));
+                    errors.push(format!("{address}: {error}"));
                     continue;
                 }
-                Err(error) => return Err(ClientError::Unavailable(format!("{at}: {error}"))),
+                Err(error) => return Err(ClientError::Unavailable(format!("{address}: {error}"))),
             };
-            if answer.status == StatusCode::OK {
-                return serde_json::from_slice(&answer.body)
-                    .map_err(|source| ClientError::Malformed { at, source });
+            if response.status == StatusCode::OK {
+                return serde_json::from_slice(&response.body)
+                    .map_err(|source| ClientError::Malformed { address, source });
             }
-            let text = ErrorBody::message(&answer.body);
-            match answer.status.as_u16() {
-                // Another replica may know more.
-                503 | 504 => reasons.push(format!("{at}: {text}")),
+            let text = ErrorBody::message(&response.body);
+            match response.status.as_u16() {
+                // Another replica may be able to process it.
+                503 | 504 => errors.push(format!("{address}: {text}")),
                 status => return Err(ClientError::Refused { status, text }),
             }
         }
-        Err(ClientError::Unavailable(reasons.join("; ")))
+        Err(ClientError::Unavailable(errors.join("; ")))
     }
 }
--- a/registry/src/settings.rs
+++ b/registry/src/settings.rs
@@ -1,4 +1,4 @@
-//! A replica's settings: a TOML file, checked whole, with usual values for all of it. A single replica needs no file.
+//! The settings of a replica: a TOML file in which every key is optional. A single replica runs without a file.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,53 +11,53 @@
 use crate::list::MAX_NAME_BYTES;
 use crate::raft::Place;
 
-/// What a replica is told at its start.
+/// The settings of a replica.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Settings {
-    /// The fleet's name: replicas of another one are not talked to, and its store is not opened.
+    /// The name of the fleet. Calls from other fleets are rejected, and a store of another fleet is not opened.
     pub fleet: String,
-    /// Where clients and operators find it.
+    /// Listen address for clients and operators.
     pub listen: SocketAddr,
-    /// Where the other replicas find it.
+    /// Listen address for other replicas.
     pub peer_listen: SocketAddr,
-    /// How clients reach it, where that differs from `listen`.
+    /// Advertised client address, if it differs from `listen`.
     pub address: Option<SocketAddr>,
-    /// How the other replicas reach it, where that differs from `peer_listen`.
+    /// Advertised peer address, if it differs from `peer_listen`.
     pub peer_address: Option<SocketAddr>,
-    /// All replicas' peer addresses, this one's too; none for a single replica.
+    /// Peer addresses of all replicas including this one; empty for a single replica.
     pub replicas: Vec<SocketAddr>,
-    /// Peers that are reached at another address than their own, as behind a proxy.
+    /// Addresses to connect to instead of a peer's own address, as with a proxy.
     pub via: BTreeMap<SocketAddr, SocketAddr>,
-    /// The folder of its store.
+    /// Directory of the store.
     pub data: PathBuf,
-    /// A lease lasts so long from its last renewal.
+    /// Duration of a lease since its last renewal.
     pub lease_ms: u64,
-    /// When more than this share of a zone lapses within a lease, it is held as suspect.
+    /// When more than this share of a zone's leases expire within the duration of a lease, the instances become suspects.
     pub believed_share: f64,
-    /// Lapses of a zone that are believed whatever their share.
+    /// Number of expired leases in a zone up to which the instances are removed regardless of the share.
     pub believed_count: usize,
-    /// Suspects are held for so long at most.
+    /// Time after which suspects that have not renewed are removed.
     pub hold_s: u64,
-    /// The leader is heard from so often. A replica's answer to it has to come in this time too.
+    /// Interval of the leader's heartbeats, and the timeout for a replica's response to one.
     pub heartbeat_ms: u64,
-    /// A leader that was not heard from for up to three times this is replaced.
+    /// Minimum election timeout. Failover may take up to three times as long.
     pub election_ms: u64,
-    /// Entries after which the log is compacted into a snapshot.
+    /// Number of log entries after which a snapshot is taken and the log is compacted.
     pub snapshot_every: u64,
-    /// The store takes no writes beyond this size.
+    /// Size of the store beyond which writes are rejected.
     pub most_store_mb: u64,
-    /// Client connections at most.
+    /// Maximum number of client connections.
     pub most_connections: usize,
-    /// Watches that wait at a time.
+    /// Maximum number of waiting watches.
     pub most_watches: usize,
-    /// A replica that can't vouch for its list to be younger is not ready.
+    /// Maximum age of the list for the replica to be ready.
     pub ready_age_ms: u64,
 }
 
 impl Default for Settings {
     fn default() -> Self {
-        let usual = LeasePolicy::default();
+        let policy = LeasePolicy::default();
         Self {
             fleet: "fleet".to_owned(),
             listen: SocketAddr::from(([127, 0, 0, 1], 7200)),
@@ -67,12 +67,12 @@
             replicas: Vec::new(),
             via: BTreeMap::new(),
             data: PathBuf::from("registry-data"),
-            lease_ms: usual.lease / 1_000_000,
-            believed_share: usual.believed_share,
-            believed_count: usual.believed_count,
-            hold_s: usual.hold / 1_000_000_000,
-            // A lead that moves costs up to 1 s: the last leader's lease of twice `election_ms`, once to twice that
-            // until somebody stands, and a look at the clock once in one and a half heartbeats.
+            lease_ms: policy.lease / 1_000_000,
+            believed_share: policy.believed_share,
+            believed_count: policy.believed_count,
+            hold_s: policy.hold / 1_000_000_000,
+            // Failover takes up to 1 s: the lease of the former leader (twice `election_ms`), the election timeout (once to
+            // twice `election_ms`) and the tick interval (1.5 heartbeats).
             heartbeat_ms: 100,
             election_ms: 250,
             snapshot_every: 2000,
@@ -85,67 +85,88 @@
 }
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Reads and validates a file.
     pub fn read(file: &Path) -> Result<Self, FileError> {
         read(file, Self::check)
     }
 
-    /// What makes no sense in them, with the key.
+    /// Validates the settings.
     pub fn check(&self) -> Result<(), ValidationError> {
-        let wanted = |fits: bool, key: &'static str, text: String| {
-            if fits { Ok(()) } else { Err(ValidationError { key: key.to_owned(), text }) }
+        let require = |valid: bool, key: &'static str, text: String| {
+            if valid { Ok(()) } else { Err(ValidationError { key: key.to_owned(), text }) }
         };
-        let named = !self.fleet.is_empty() && self.fleet.len() <= MAX_NAME_BYTES && self.fleet.is_ascii();
-        wanted(named, "fleet", format!("1 to {MAX_NAME_BYTES} ASCII characters are wanted"))?;
-        let own = self.place();
+        let valid_fleet =
+            !self.fleet.is_empty() && self.fleet.len() <= MAX_NAME_BYTES && self.fleet.is_ascii();
+        require(valid_fleet, "fleet", format!("must have 1 to {MAX_NAME_BYTES} ASCII characters"))?;
+        let place = self.place();
         let replicas = &self.replicas;
-        let (odd, few) = (replicas.len() % 2 == 1, replicas.len() <= MAX_REPLICAS);
-        wanted(
-            replicas.is_empty() || (odd && few),
+        let (odd_count, within_limit) = (replicas.len() % 2 == 1, replicas.len() <= MAX_REPLICAS);
+        require(
+            replicas.is_empty() || (odd_count && within_limit),
             "replicas",
-            format!("1, 3, 5, 7 or {MAX_REPLICAS} are wanted"),
+            format!("must have 1, 3, 5, 7 or {MAX_REPLICAS} addresses"),
         )?;
-        let listed = replicas.is_empty() || replicas.contains(&own.peer);
-        wanted(
-            listed,
+        let includes_own = replicas.is_empty() || replicas.contains(&place.peer);
+        require(
+            includes_own,
             "replicas",
-            format!("this replica's own peer address, {}, is not among them", own.peer),
+            format!("must include this replica's own peer address, {}", place.peer),
         )?;
-        let twice = replicas.iter().enumerate().any(|(at, one)| replicas[..at].contains(one));
-        wanted(!twice, "replicas", "an address stands there twice".to_owned())?;
-        let reached = |at: SocketAddr| !at.ip().is_unspecified();
-        wanted(
-            reached(own.client),
+        let duplicate = replicas.iter().enumerate().any(|(at, address)| replicas[..at].contains(address));
+        require(!duplicate, "replicas", "contains a duplicate address".to_owned())?;
+        let is_reachable = |at: SocketAddr| !at.ip().is_unspecified();
+        require(
+            is_reachable(place.client),
             "address",
-            "clients can't reach an unspecified address: name one".to_owned(),
+            "the address advertised to clients must not be unspecified".to_owned(),
         )?;
-        wanted(
-            reached(own.peer),
+        require(
+            is_reachable(place.peer),
             "peer_address",
-            "peers can't reach an unspecified address: name one".to_owned(),
+            "the address advertised to other replicas must not be unspecified".to_owned(),
         )?;
-        let within = |value: u64, least: u64, most: u64| (least..=most).contains(&value);
-        wanted(within(self.lease_ms, 500, 600_000), "lease_ms", "500 to 600000 is wanted".to_owned())?;
-        let share = (0.0..=1.0).contains(&self.believed_share);
-        wanted(share, "believed_share", "a share from 0 to 1 is wanted".to_owned())?;
-        wanted(within(self.hold_s, 1, 86_400), "hold_s", "1 to 86400 is wanted".to_owned())?;
-        wanted(within(self.heartbeat_ms, 10, 10_000), "heartbeat_ms", "10 to 10000 is wanted".to_owned())?;
-        let after = self.election_ms > self.heartbeat_ms && self.election_ms <= 60_000;
-        wanted(after, "election_ms", "more than heartbeat_ms is wanted, and 60000 at most".to_owned())?;
-        wanted(
+        let within = |value: u64, min: u64, max: u64| (min..=max).contains(&value);
+        require(
+            within(self.lease_ms, 500, 600_000),
+            "lease_ms",
+            "must be between 500 and 600000".to_owned(),
+        )?;
+        let valid_share = (0.0..=1.0).contains(&self.believed_share);
+        require(valid_share, "believed_share", "must be between 0 and 1".to_owned())?;
+        require(within(self.hold_s, 1, 86_400), "hold_s", "must be between 1 and 86400".to_owned())?;
+        require(
+            within(self.heartbeat_ms, 10, 10_000),
+            "heartbeat_ms",
+            "must be between 10 and 10000".to_owned(),
+        )?;
+        let valid_election = self.election_ms > self.heartbeat_ms && self.election_ms <= 60_000;
+        require(
+            valid_election,
+            "election_ms",
+            "must be greater than heartbeat_ms and at most 60000".to_owned(),
+        )?;
+        require(
             within(self.snapshot_every, 10, 1_000_000),
             "snapshot_every",
-            "10 to 1000000 is wanted".to_owned(),
+            "must be between 10 and 1000000".to_owned(),
+        )?;
+        require(
+            within(self.most_store_mb, 4, 1 << 20),
+            "most_store_mb",
+            "must be between 4 and 1048576".to_owned(),
         )?;
-        wanted(within(self.most_store_mb, 4, 1 << 20), "most_store_mb", "4 to 1048576 is wanted".to_owned())?;
-        let connections = (16..=1_000_000).contains(&self.most_connections);
-        wanted(connections, "most_connections", "16 to 1000000 is wanted".to_owned())?;
-        let watches = (1..=self.most_connections).contains(&self.most_watches);
-        wanted(watches, "most_watches", "1 to most_connections is wanted".to_owned())?;
-        wanted(within(self.ready_age_ms, 100, 600_000), "ready_age_ms", "100 to 600000 is wanted".to_owned())
+        let valid_connections = (16..=1_000_000).contains(&self.most_connections);
+        require(valid_connections, "most_connections", "must be between 16 and 1000000".to_owned())?;
+        let valid_watches = (1..=self.most_connections).contains(&self.most_watches);
+        require(valid_watches, "most_watches", "must be between 1 and most_connections".to_owned())?;
+        require(
+            within(self.ready_age_ms, 100, 600_000),
+            "ready_age_ms",
+            "must be between 100 and 600000".to_owned(),
+        )
     }
 
-    /// Where the replica is, as the others and clients reach it.
+    /// Returns the advertised addresses.
     pub fn place(&self) -> Place {
         Place {
             peer: self.peer_address.unwrap_or(self.peer_listen),
@@ -153,7 +174,7 @@
         }
     }
 
-    /// Which silences are believed.
+    /// Returns the lease policy.
     pub fn lease_policy(&self) -> LeasePolicy {
         LeasePolicy {
             lease: self.lease_ms * 1_000_000,
--- a/registry/src/settings/tests.rs
+++ b/registry/src/settings/tests.rs
@@ -1,13 +1,16 @@
 use super::*;
 
 #[test]
-fn what_makes_no_sense_is_told_by_its_key() {
-    let told = |text: &str| {
+fn an_invalid_setting_is_reported_by_its_key() {
+    let invalid_key = |text: &str| {
         let settings: Settings = toml::from_str(text).expect(text);
         settings.check().map_err(|problem| problem.key)
     };
-    assert_eq!(told(""), Ok(()));
-    assert_eq!(told("replicas = [\"127.0.0.1:7300\", \"127.0.0.1:7301\", \"127.0.0.1:7302\"]"), Ok(()));
+    assert_eq!(invalid_key(""), Ok(()));
+    assert_eq!(
+        invalid_key("replicas = [\"127.0.0.1:7300\", \"127.0.0.1:7301\", \"127.0.0.1:7302\"]"),
+        Ok(())
+    );
     for (text, key) in [
         ("fleet = \"\"", "fleet"),
         ("replicas = [\"127.0.0.1:7300\", \"127.0.0.1:7301\"]", "replicas"),
@@ -26,7 +29,7 @@
         ("most_watches = 20000", "most_watches"),
         ("ready_age_ms = 1", "ready_age_ms"),
     ] {
-        assert_eq!(told(text), Err(key.to_owned()), "{text}");
+        assert_eq!(invalid_key(text), Err(key.to_owned()), "{text}");
     }
     assert!(toml::from_str::<Settings>("leese_ms = 1").is_err());
 }
