--- a/cli/tests/registry/main.rs
+++ b/cli/tests/registry/main.rs
@@ -276,7 +276,7 @@
         assert!(number < 1000, "the store grows without end");
     };
     assert_eq!(status, 507, "{text}");
-    assert!(text.contains("are the most"), "{text}");
+    assert!(text.contains("the limit is"), "{text}");
     client.get::<Listing>("/registry/instances").await.expect("reads go on");
 }
 
--- a/registry/src/http.rs
+++ b/registry/src/http.rs
@@ -1,4 +1,4 @@
-//! What clients and operators, and the other replicas, may call, and how a call becomes an operation.
+//! The HTTP API for clients, operators and other replicas.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -22,24 +22,26 @@
 use crate::peers::{
     APPEND_PATH, FLEET_HEADER, MAX_MESSAGE_BYTES, REPLICA_HEADER, SNAPSHOT_PATH, SnapshotMessage, VOTE_PATH,
 };
-use crate::replica::{DO, ELECT, MOST_LIVES, Operation, Replica, Trouble, WHO};
+use crate::replica::{
+    ApiError, ELECT_PATH, IDENTITY_PATH, MAX_RENEWALS_PER_CALL, OPERATION_PATH, Operation, Replica,
+};
 use crate::wire::{BackupPart, ErrorBody, InstanceKey, Renewal, ReplicaChange, SuspectDecision, Target};
 
-type Own = State<Arc<Replica>>;
+type ReplicaState = State<Arc<Replica>>;
 
-/// The protocol's bound of a watch.
-const MOST_HOLD: Duration = Duration::from_secs(60);
-/// A replica that is behind its client waits so long at least for what the client has seen.
-const CATCH_UP: Duration = Duration::from_secs(1);
-/// Bytes of a call.
-const MOST_CALL: usize = 1024 * 1024;
+/// Maximum time that a watch may wait for a change.
+const MAX_HOLD: Duration = Duration::from_secs(60);
+/// Minimum time that a replica waits to reach the revision that a client has seen.
+const MIN_CATCH_UP_WAIT: Duration = Duration::from_secs(1);
+/// Size limit of a request body from clients.
+const MAX_CALL_BYTES: usize = 1024 * 1024;
 
-impl IntoResponse for Trouble {
+impl IntoResponse for ApiError {
     fn into_response(self) -> Response {
         let status = StatusCode::from_u16(self.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-        let mut response = (status, axum::Json(ErrorBody { error: self.text })).into_response();
-        if let Some(again) = self.again
-            && let Ok(value) = HeaderValue::from_str(&format!("{:.1}", again.as_secs_f64()))
+        let mut response = (status, axum::Json(ErrorBody { error: self.message })).into_response();
+        if let Some(retry_after) = self.retry_after
+            && let Ok(value) = HeaderValue::from_str(&format!("{:.1}", retry_after.as_secs_f64()))
         {
             response.headers_mut().insert(header::RETRY_AFTER, value);
         }
@@ -47,15 +49,15 @@
     }
 }
 
-fn parsed<T: DeserializeOwned>(body: &[u8]) -> Result<T, Trouble> {
-    serde_json::from_slice(body).map_err(|error| Trouble::refused(400, error.to_string()))
+fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, ApiError> {
+    serde_json::from_slice(body).map_err(|error| ApiError::new(400, error.to_string()))
 }
 
 fn json<T: Serialize>(value: &T) -> Response {
     axum::Json(value).into_response()
 }
 
-/// Calls of clients and operators.
+/// Returns the routes for clients and operators.
 pub fn clients(replica: Arc<Replica>) -> Router {
     Router::new()
         .route(INSTANCES_PATH, get(instances))
@@ -66,182 +68,201 @@
         .route("/registry/suspects", post(suspects))
         .route("/registry/restore", post(restore))
         .route("/registry/replicas", post(replicas))
-        .route("/registry/backup", get(async |State(own): Own| json(&own.backup())))
-        .route("/registry/status", get(async |State(own): Own| json(&own.status())))
+        .route("/registry/backup", get(async |State(replica): ReplicaState| json(&replica.backup())))
+        .route("/registry/status", get(async |State(replica): ReplicaState| json(&replica.status())))
         .route("/health/live", get(async || "live\n"))
         .route("/health/ready", get(ready))
-        .route("/metrics", get(async |State(own): Own| own.metrics.text(&own.gauges())))
-        .fallback(async || Trouble::refused(404, "no such path"))
-        .method_not_allowed_fallback(async || Trouble::refused(405, "not by this method"))
-        .layer(DefaultBodyLimit::max(MOST_CALL))
+        .route("/metrics", get(async |State(replica): ReplicaState| replica.metrics.text(&replica.gauges())))
+        .fallback(async || ApiError::new(404, "no such path"))
+        .method_not_allowed_fallback(async || ApiError::new(405, "method not allowed"))
+        .layer(DefaultBodyLimit::max(MAX_CALL_BYTES))
         .with_state(replica)
 }
 
-/// Calls of the other replicas.
+/// Returns the routes for other replicas.
 pub fn peers(replica: Arc<Replica>) -> Router {
     Router::new()
         .route(APPEND_PATH, post(append))
         .route(VOTE_PATH, post(vote))
         .route(SNAPSHOT_PATH, post(snapshot))
-        .route(WHO, post(async |State(own): Own| json(&own.who().await)))
-        .route(ELECT, post(async |State(own): Own| own.stand().await.map(|done| json(&done))))
-        .route(DO, post(async |State(own): Own, body: Bytes| perform(&own, parsed(&body)?, true).await))
+        .route(IDENTITY_PATH, post(async |State(replica): ReplicaState| json(&replica.identity().await)))
+        .route(
+            ELECT_PATH,
+            post(async |State(replica): ReplicaState| replica.campaign().await.map(|result| json(&result))),
+        )
+        .route(
+            OPERATION_PATH,
+            post(async |State(replica): ReplicaState, body: Bytes| {
+                dispatch(&replica, parse(&body)?, true).await
+            }),
+        )
         .route(
             "/peer/join",
-            post(async |State(own): Own, body: Bytes| perform(&own, parsed(&body)?, false).await),
+            post(async |State(replica): ReplicaState, body: Bytes| {
+                dispatch(&replica, parse(&body)?, false).await
+            }),
         )
-        .fallback(async || Trouble::refused(404, "no such path"))
-        .layer(from_fn_with_state(replica.clone(), meant))
+        .fallback(async || ApiError::new(404, "no such path"))
+        .layer(from_fn_with_state(replica.clone(), check_addressee))
         .layer(DefaultBodyLimit::max(MAX_MESSAGE_BYTES))
         .with_state(replica)
 }
 
-/// Lets through what is for this fleet and this replica.
-async fn meant(State(own): Own, headers: HeaderMap, request: Request, next: Next) -> Response {
-    let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
-    if text(FLEET_HEADER) != Some(own.settings().fleet.as_str()) {
-        return Trouble::refused(421, "this is a replica of another fleet").into_response();
+/// Rejects calls that are meant for another fleet or another replica.
+async fn check_addressee(
+    State(replica): ReplicaState,
+    headers: HeaderMap,
+    request: Request,
+    next: Next,
+) -> Response {
+    let value_of = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
+    if value_of(FLEET_HEADER) != Some(replica.settings().fleet.as_str()) {
+        return ApiError::new(421, "this is a replica of another fleet").into_response();
     }
-    if text(REPLICA_HEADER).is_some_and(|to| to != own.id().to_string()) {
-        return Trouble::refused(421, format!("this is replica {}", own.id())).into_response();
+    if value_of(REPLICA_HEADER).is_some_and(|to| to != replica.id().to_string()) {
+        return ApiError::new(421, format!("this is replica {}", replica.id())).into_response();
     }
     next.run(request).await
 }
 
-async fn append(State(own): Own, body: Bytes) -> Result<Response, Trouble> {
-    Ok(json(&own.raft().append_entries(parsed(&body)?).await))
+async fn append(State(replica): ReplicaState, body: Bytes) -> Result<Response, ApiError> {
+    Ok(json(&replica.raft().append_entries(parse(&body)?).await))
 }
 
-async fn vote(State(own): Own, body: Bytes) -> Result<Response, Trouble> {
-    Ok(json(&own.raft().vote(parsed(&body)?).await))
+async fn vote(State(replica): ReplicaState, body: Bytes) -> Result<Response, ApiError> {
+    Ok(json(&replica.raft().vote(parse(&body)?).await))
 }
 
-async fn snapshot(State(own): Own, body: Bytes) -> Result<Response, Trouble> {
-    let SnapshotMessage { vote, meta, state } = parsed(&body)?;
+async fn snapshot(State(replica): ReplicaState, body: Bytes) -> Result<Response, ApiError> {
+    let SnapshotMessage { vote, meta, state } = parse(&body)?;
     let snapshot = Snapshot { meta, snapshot: Box::new(state) };
-    Ok(json(&own.raft().install_full_snapshot(vote, snapshot).await))
+    Ok(json(&replica.raft().install_full_snapshot(vote, snapshot).await))
 }
 
-async fn perform(own: &Replica, operation: Operation, sent_on: bool) -> Result<Response, Trouble> {
-    own.perform(operation, sent_on).await.map(|done: Value| json(&done))
+async fn dispatch(replica: &Replica, operation: Operation, forwarded: bool) -> Result<Response, ApiError> {
+    replica.dispatch(operation, forwarded).await.map(|result: Value| json(&result))
 }
 
-async fn register(State(own): Own, body: Bytes) -> Result<Response, Trouble> {
-    let instance = crate::list::Instance::from(parsed::<Target>(&body)?);
-    // Before it goes anywhere: nonsense costs the log nothing.
-    instance.check().map_err(|refused| Trouble::refused(400, refused.to_string()))?;
-    perform(&own, Operation::Register(instance), false).await
+async fn register(State(replica): ReplicaState, body: Bytes) -> Result<Response, ApiError> {
+    let instance = crate::list::Instance::from(parse::<Target>(&body)?);
+    // Validated before it is forwarded or replicated.
+    instance.check().map_err(|error| ApiError::new(400, error.to_string()))?;
+    dispatch(&replica, Operation::Register(instance), false).await
 }
 
-async fn renew(State(own): Own, body: Bytes) -> Result<Response, Trouble> {
-    let renewal: Renewal = parsed(&body)?;
-    if renewal.lives.len() > MOST_LIVES {
-        return Err(Trouble::refused(400, format!("lives: {MOST_LIVES} at most in one call")));
+async fn renew(State(replica): ReplicaState, body: Bytes) -> Result<Response, ApiError> {
+    let renewal: Renewal = parse(&body)?;
+    if renewal.lives.len() > MAX_RENEWALS_PER_CALL {
+        return Err(ApiError::new(400, format!("lives: must have at most {MAX_RENEWALS_PER_CALL} entries")));
     }
-    perform(&own, Operation::Renew(renewal), false).await
+    dispatch(&replica, Operation::Renew(renewal), false).await
 }
 
-async fn drain(State(own): Own, body: Bytes) -> Result<Response, Trouble> {
-    perform(&own, Operation::Drain(parsed::<InstanceKey>(&body)?), false).await
+async fn drain(State(replica): ReplicaState, body: Bytes) -> Result<Response, ApiError> {
+    dispatch(&replica, Operation::Drain(parse::<InstanceKey>(&body)?), false).await
 }
 
-async fn leave(State(own): Own, body: Bytes) -> Result<Response, Trouble> {
-    perform(&own, Operation::Leave(parsed::<InstanceKey>(&body)?), false).await
+async fn leave(State(replica): ReplicaState, body: Bytes) -> Result<Response, ApiError> {
+    dispatch(&replica, Operation::Leave(parse::<InstanceKey>(&body)?), false).await
 }
 
-async fn suspects(State(own): Own, body: Bytes) -> Result<Response, Trouble> {
-    perform(&own, Operation::Decide(parsed::<SuspectDecision>(&body)?), false).await
+async fn suspects(State(replica): ReplicaState, body: Bytes) -> Result<Response, ApiError> {
+    dispatch(&replica, Operation::Decide(parse::<SuspectDecision>(&body)?), false).await
 }
 
-async fn restore(State(own): Own, body: Bytes) -> Result<Response, Trouble> {
-    perform(&own, Operation::Restore(parsed::<BackupPart>(&body)?), false).await
+async fn restore(State(replica): ReplicaState, body: Bytes) -> Result<Response, ApiError> {
+    dispatch(&replica, Operation::Restore(parse::<BackupPart>(&body)?), false).await
 }
 
-async fn replicas(State(own): Own, body: Bytes) -> Result<Response, Trouble> {
-    perform(&own, Operation::Replicas(parsed::<ReplicaChange>(&body)?), false).await
+async fn replicas(State(replica): ReplicaState, body: Bytes) -> Result<Response, ApiError> {
+    dispatch(&replica, Operation::Replicas(parse::<ReplicaChange>(&body)?), false).await
 }
 
-async fn ready(State(own): Own) -> Result<&'static str, Trouble> {
-    own.not_ready_reason().map_or(Ok("ready\n"), |reason| Err(Trouble::later(reason)))
+async fn ready(State(replica): ReplicaState) -> Result<&'static str, ApiError> {
+    replica.not_ready_reason().map_or(Ok("ready\n"), |reason| Err(ApiError::unavailable(reason)))
 }
 
-/// What a watcher asks.
+/// The query parameters of a list request or watch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct Watch {
+struct WatchQuery {
     from: Option<Rev>,
     seen: Option<Rev>,
     hold: Duration,
 }
 
-impl Watch {
-    fn read(query: &str) -> Result<Self, Trouble> {
+impl WatchQuery {
+    fn read(query: &str) -> Result<Self, ApiError> {
         let mut watch = Self::default();
         for pair in query.split('&').filter(|pair| !pair.is_empty()) {
             let (name, value) = pair.split_once('=').unwrap_or((pair, ""));
             let number = value.parse::<u64>();
-            let number =
-                number.map_err(|_| Trouble::refused(400, format!("{name}: {value:?} is no whole number")));
+            let number = number
+                .map_err(|_| ApiError::new(400, format!("{name}: {value:?} is not an unsigned integer")));
             match name {
                 "from" => watch.from = Some(number?),
                 "seen" => watch.seen = Some(number?),
-                "hold_ms" => watch.hold = Duration::from_millis(number?).min(MOST_HOLD),
-                _ => return Err(Trouble::refused(400, format!("{name}: from, seen and hold_ms are known"))),
+                "hold_ms" => watch.hold = Duration::from_millis(number?).min(MAX_HOLD),
+                _ => return Err(ApiError::new(400, format!("{name}: expected from, seen or hold_ms"))),
             }
         }
         Ok(watch)
     }
 }
 
-/// Counts a watch that waits.
-struct Waiting<'a>(&'a Replica);
+/// Counts a waiting watch for as long as it exists.
+struct WatchGuard<'a>(&'a Replica);
 
-impl<'a> Waiting<'a> {
-    fn one(own: &'a Replica) -> Result<Self, Trouble> {
-        // Counted out when it is dropped, also where it was one too many.
-        let waiting = Self(own);
-        let most = own.settings().most_watches;
-        if own.watches.fetch_add(1, Ordering::Relaxed) >= most {
-            return Err(Trouble::later(format!("{most} watches wait already")));
+impl<'a> WatchGuard<'a> {
+    fn acquire(replica: &'a Replica) -> Result<Self, ApiError> {
+        // Created first: its drop decrements the count even if the limit is exceeded.
+        let guard = Self(replica);
+        let limit = replica.settings().most_watches;
+        if replica.watches.fetch_add(1, Ordering::Relaxed) >= limit {
+            return Err(ApiError::unavailable(format!("too many waiting watches, the limit is {limit}")));
         }
-        Ok(waiting)
+        Ok(guard)
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WatchGuard<'_> {
     fn drop(&mut self) {
         self.0.watches.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// A watch, without the router's way to it.
-pub async fn watch(own: Arc<Replica>, query: Option<String>) -> Response {
-    instances(State(own), RawQuery(query)).await.into_response()
+/// Handles a list request without the router.
+pub async fn watch(replica: Arc<Replica>, query: Option<String>) -> Response {
+    instances(State(replica), RawQuery(query)).await.into_response()
 }
 
-/// The list, or what is new on it once there is something new. Never older than what the client has seen.
-async fn instances(State(own): Own, RawQuery(query): RawQuery) -> Result<Response, Trouble> {
-    let watch = Watch::read(query.as_deref().unwrap_or_default())?;
-    let began = Instant::now();
-    let mut revs = own.watch();
-    let needed = watch.from.max(watch.seen).unwrap_or(0);
-    if needed > own.rev() {
-        let _waiting = Waiting::one(&own)?;
-        let reached = revs.wait_for(|rev| *rev >= needed);
-        if timeout_at(began + watch.hold.max(CATCH_UP), reached).await.is_err() {
-            let text = format!("this replica is behind: it has version {}, and {needed} was seen", own.rev());
-            return Err(Trouble::later(text));
+/// Returns the list or its changes, waiting for a change if requested. The list is never older than the revision that the
+/// client has seen.
+async fn instances(State(replica): ReplicaState, RawQuery(query): RawQuery) -> Result<Response, ApiError> {
+    let watch = WatchQuery::read(query.as_deref().unwrap_or_default())?;
+    let started_at = Instant::now();
+    let mut revisions = replica.watch();
+    let min_rev = watch.from.max(watch.seen).unwrap_or(0);
+    if min_rev > replica.rev() {
+        let _waiting = WatchGuard::acquire(&replica)?;
+        let caught_up = revisions.wait_for(|rev| *rev >= min_rev);
+        if timeout_at(started_at + watch.hold.max(MIN_CATCH_UP_WAIT), caught_up).await.is_err() {
+            let message = format!(
+                "this replica is behind: it has revision {}, the client has seen {min_rev}",
+                replica.rev()
+            );
+            return Err(ApiError::unavailable(message));
         }
     }
-    if watch.from.is_some_and(|from| from == own.rev()) && !watch.hold.is_zero() {
-        let _waiting = Waiting::one(&own)?;
-        // Nothing new is an answer too.
-        let _ = timeout_at(began + watch.hold, revs.wait_for(|rev| Some(*rev) != watch.from)).await;
+    if watch.from.is_some_and(|from| from == replica.rev()) && !watch.hold.is_zero() {
+        let _waiting = WatchGuard::acquire(&replica)?;
+        // A timeout is answered with an empty update.
+        let _ = timeout_at(started_at + watch.hold, revisions.wait_for(|rev| Some(*rev) != watch.from)).await;
     }
-    own.metrics.lists_answered.inc();
-    let mut response = Response::new(Body::from(own.response_cache.get(watch.from)));
+    replica.metrics.lists_answered.inc();
+    let mut response = Response::new(Body::from(replica.response_cache.get(watch.from)));
     let headers = response.headers_mut();
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    let age = match own.age() {
+    let age = match replica.age() {
         Some(age) => HeaderValue::from(age.as_millis() as u64),
         None => HeaderValue::from_static("unknown"),
     };
--- a/registry/src/lib.rs
+++ b/registry/src/lib.rs
@@ -1,16 +1,16 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
-//! The registry: who is in service, kept by several processes as one.
+//! The service registry: the list of instances in service, replicated with Raft.
 //!
-//! The core has neither sockets, clocks nor files. [`list`] is what the replicated log carries: commands in, one
-//! version for the whole list that only rises, and the changes since any version that the history still reaches.
-//! [`leases`] is what the leader alone keeps: who has renewed when, and which silences are believed. Renewals never go
-//! through the log; only what they change does.
+//! The core has no sockets, clocks or files. [`list`] is the deterministic state: commands change the list, and each
+//! change has a revision. [`leases`] are kept by the leader alone and are not replicated; only the commands that result
+//! from renewals and expired leases are.
 //!
-//! Around it: [`raft`] names what the consensus library is given, [`store`] keeps its log on disk, [`state_machine`] applies
-//! it, [`peers`] carries its messages. [`replica`] puts these together with the leader's office. [`response_cache`] makes the answers
-//! to watchers, [`http`] is what may be called and [`client`] calls it, [`wire`] its forms, [`serve`] the doors, [`settings`] the configuration, and
-//! [`metrics`] what can be read off.
+//! Replication is built on openraft: [`raft`] is its type configuration, [`store`] its log on disk, [`state_machine`]
+//! the replicated state, and [`peers`] its network. [`replica`] combines them.
+//!
+//! [`http`] is the API, with the messages in [`wire`] and the responses to watchers from [`response_cache`]. [`client`]
+//! calls it. [`serve`] runs a replica with its [`settings`], and [`metrics`] are its metrics.
 
 pub mod client;
 pub mod http;
--- a/registry/src/replica/consensus.rs
+++ b/registry/src/replica/consensus.rs
@@ -1,4 +1,4 @@
-//! The way through the log, and the majority's word that this replica leads.
+//! Replication of commands, and confirmation of leadership by a quorum.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -9,158 +9,177 @@
 use tokio::time::{Instant, sleep_until, timeout};
 
 use super::{
-    CONFIRM, CONFIRM_EACH, Confirmation, Confirmed, DO, MOST_WAITING, Operation, Replica, Trouble, Write,
-    lock,
+    ApiError, CONFIRM_INTERVAL, CONFIRM_TIMEOUT, LeadershipConfirmation, OPERATION_PATH, Operation,
+    PendingConfirmation, PendingWrite, QUEUE_CAPACITY, Replica, lock,
 };
 use crate::list::{Command, Rev};
 use crate::raft::Applied;
 
-/// A command that is not through the log by then may or may not be carried out.
-const WRITE: Duration = Duration::from_secs(2);
-/// Commands that share an entry.
-const MOST_BATCH: usize = 128;
-/// How often a replica asks how far the list has come.
-const FRESHEN: Duration = Duration::from_millis(250);
+/// Timeout of a command. One that is not applied by then may still be applied later.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum number of commands in a log entry.
+const MAX_BATCH: usize = 128;
+/// Interval at which a replica confirms how current its list is.
+const AGE_REFRESH_INTERVAL: Duration = Duration::from_millis(250);
 
 impl Replica {
-    /// Brings a command through the log.
-    pub(super) async fn write(&self, command: Command) -> Result<Rev, Trouble> {
-        if lock(&self.office).is_none() {
-            return Err(Trouble::later("the leader has just come into office"));
+    /// Replicates a command and waits until it is applied.
+    pub(super) async fn write(&self, command: Command) -> Result<Rev, ApiError> {
+        if lock(&self.leadership).is_none() {
+            return Err(ApiError::unavailable("the leader was just elected and is not ready yet"));
         }
-        self.write_any(command).await
+        self.propose(command).await
     }
 
-    pub(super) async fn write_any(&self, command: Command) -> Result<Rev, Trouble> {
-        if let Some(trouble) = self.trouble() {
-            return Err(Trouble::refused(507, trouble));
+    /// Like [`Self::write`], but allowed before the leader has created its leases.
+    pub(super) async fn propose(&self, command: Command) -> Result<Rev, ApiError> {
+        if let Some(error) = self.fatal_error() {
+            return Err(ApiError::new(507, error));
         }
-        let (size, most) = (self.store.size(), self.settings.most_store_mb * 1024 * 1024);
-        if size >= most {
-            let text =
-                format!("the store has {size} bytes, and {most} are the most: it takes no more writes");
-            return Err(Trouble::refused(507, text));
+        let (size, limit) = (self.store.size(), self.settings.most_store_mb * 1024 * 1024);
+        if size >= limit {
+            let message = format!("the store has {size} bytes, the limit is {limit}: writes are rejected");
+            return Err(ApiError::new(507, message));
         }
-        if self.leaving.load(Ordering::Relaxed) {
-            return Err(Trouble::later("the lead is being handed over"));
+        if self.transferring.load(Ordering::Relaxed) {
+            return Err(ApiError::unavailable("leadership is being transferred"));
         }
-        let (told, applied) = oneshot::channel();
-        self.writes.try_send((command, told)).map_err(|_| Trouble::later("too many commands wait"))?;
-        let late = Trouble::unknown("the log did not take it in time");
-        match timeout(WRITE, applied).await {
+        let (reply, applied) = oneshot::channel();
+        self.write_queue
+            .try_send((command, reply))
+            .map_err(|_| ApiError::unavailable("too many commands are queued"))?;
+        let timed_out = ApiError::outcome_unknown("the command was not replicated in time");
+        match timeout(WRITE_TIMEOUT, applied).await {
             Ok(Ok(Ok(Applied::Done(rev)))) => Ok(rev),
-            Ok(Ok(Ok(Applied::Refused { status, text }))) => Err(Trouble::refused(status, text)),
-            Ok(Ok(Err(trouble))) => Err(trouble),
-            Ok(Err(_)) | Err(_) => Err(late),
+            Ok(Ok(Ok(Applied::Refused { status, text }))) => Err(ApiError::new(status, text)),
+            Ok(Ok(Err(error))) => Err(error),
+            Ok(Err(_)) | Err(_) => Err(timed_out),
         }
     }
 
-    /// Takes commands to the log, all that have come in meanwhile in one entry.
-    pub(super) async fn write_all(self: Arc<Self>, mut written: mpsc::Receiver<Write>) {
-        while let Some(first) = written.recv().await {
-            let (mut commands, mut waiting) = (vec![first.0], vec![first.1]);
-            while commands.len() < MOST_BATCH
-                && let Ok((command, told)) = written.try_recv()
+    /// Replicates queued commands, in batches of one log entry each.
+    pub(super) async fn process_writes(self: Arc<Self>, mut receiver: mpsc::Receiver<PendingWrite>) {
+        while let Some(first) = receiver.recv().await {
+            let (mut commands, mut replies) = (vec![first.0], vec![first.1]);
+            while commands.len() < MAX_BATCH
+                && let Ok((command, reply)) = receiver.try_recv()
             {
                 commands.push(command);
-                waiting.push(told);
+                replies.push(reply);
             }
-            let count = commands.len() as u64;
-            self.metrics.commands.inc_by(count);
+            let batch_size = commands.len() as u64;
+            self.metrics.commands.inc_by(batch_size);
             self.metrics.log_entries.inc();
-            let told = match timeout(WRITE, self.raft.client_write(commands)).await {
+            let outcome = match timeout(WRITE_TIMEOUT, self.raft.client_write(commands)).await {
                 Ok(Ok(response)) => Ok(response.data),
                 Ok(Err(RaftError::APIError(ClientWriteError::ForwardToLeader(_)))) => {
-                    Err(Trouble::later("the lead has moved"))
+                    Err(ApiError::unavailable("leadership has moved to another replica"))
                 }
-                Ok(Err(RaftError::APIError(error))) => Err(Trouble::later(error.to_string())),
+                Ok(Err(RaftError::APIError(error))) => Err(ApiError::unavailable(error.to_string())),
                 Ok(Err(RaftError::Fatal(error))) => {
-                    let stopped = || format!("the consensus has stopped: {error}");
-                    Err(Trouble::refused(507, self.trouble().unwrap_or_else(stopped)))
+                    let stopped = || format!("Raft has stopped: {error}");
+                    Err(ApiError::new(507, self.fatal_error().unwrap_or_else(stopped)))
                 }
-                Err(_) => Err(Trouble::unknown("the log did not take it in time")),
+                Err(_) => Err(ApiError::outcome_unknown("the command was not replicated in time")),
             };
-            match told {
-                Ok(applied) => waiting.into_iter().zip(applied).for_each(|(told, applied)| {
-                    // Whoever asked may have gone.
-                    let _ = told.send(Ok(applied));
+            match outcome {
+                Ok(applied) => replies.into_iter().zip(applied).for_each(|(reply, applied)| {
+                    // The receiver is gone if the call was cancelled.
+                    let _ = reply.send(Ok(applied));
                 }),
-                Err(trouble) => waiting.into_iter().for_each(|told| {
-                    let _ = told.send(Err(trouble.clone()));
+                Err(error) => replies.into_iter().for_each(|reply| {
+                    let _ = reply.send(Err(error.clone()));
                 }),
             }
         }
     }
 
-    /// Waits until a majority has said, after this call, that this replica leads.
-    pub(super) async fn confirm(&self) -> Result<Confirmed, Trouble> {
-        let (told, confirmed) = oneshot::channel();
-        self.confirmations.try_send(told).map_err(|_| Trouble::later("too many calls wait"))?;
-        confirmed.await.unwrap_or_else(|_| Err(Trouble::later("the program ends")))
+    /// Waits until a quorum has confirmed, after this call, that this replica is the leader.
+    pub(super) async fn confirm_leadership(&self) -> Result<LeadershipConfirmation, ApiError> {
+        let (reply, confirmation) = oneshot::channel();
+        self.confirmation_queue
+            .try_send(reply)
+            .map_err(|_| ApiError::unavailable("too many calls are queued"))?;
+        confirmation.await.unwrap_or_else(|_| Err(ApiError::unavailable("the replica is shutting down")))
     }
 
-    pub(super) async fn confirm_all(self: Arc<Self>, mut asked: mpsc::Receiver<Confirmation>) {
-        while let Some(first) = asked.recv().await {
-            let mut waiting = vec![first];
-            while waiting.len() < MOST_WAITING
-                && let Ok(next) = asked.try_recv()
+    /// Confirms leadership for queued requests, one round for all that are waiting.
+    pub(super) async fn process_confirmations(
+        self: Arc<Self>,
+        mut receiver: mpsc::Receiver<PendingConfirmation>,
+    ) {
+        while let Some(first) = receiver.recv().await {
+            let mut replies = vec![first];
+            while replies.len() < QUEUE_CAPACITY
+                && let Ok(next) = receiver.try_recv()
             {
-                waiting.push(next);
+                replies.push(next);
             }
-            let at = Instant::now();
+            let started_at = Instant::now();
             self.metrics.confirmations.inc();
-            let confirmed = if self.leaving.load(Ordering::Relaxed) {
-                // A round would be heard as a sign of life, and the lead could not pass.
-                Err(Trouble::later("the lead is being handed over"))
+            let confirmation = if self.transferring.load(Ordering::Relaxed) {
+                // A round sends heartbeats, which would prevent the election of another leader.
+                Err(ApiError::unavailable("leadership is being transferred"))
             } else {
-                match timeout(CONFIRM, self.raft.ensure_linearizable()).await {
-                    Ok(Ok(read)) => match self.leads() {
-                        Some(term) => Ok(Confirmed { index: read.map(|id| id.index), term }),
-                        None => Err(Trouble::later("the lead has moved")),
+                match timeout(CONFIRM_TIMEOUT, self.raft.ensure_linearizable()).await {
+                    Ok(Ok(read)) => match self.leading_term() {
+                        Some(term) => Ok(LeadershipConfirmation { index: read.map(|id| id.index), term }),
+                        None => Err(ApiError::unavailable("leadership has moved to another replica")),
                     },
                     Ok(Err(RaftError::APIError(CheckIsLeaderError::ForwardToLeader(_)))) => {
-                        Err(Trouble::later("the lead has moved"))
+                        Err(ApiError::unavailable("leadership has moved to another replica"))
                     }
-                    Ok(Err(error)) => Err(Trouble::later(format!("the lead is in doubt: {error}"))),
-                    Err(_) => Err(Trouble::later("the lead is in doubt: no majority answers")),
+                    Ok(Err(error)) => {
+                        Err(ApiError::unavailable(format!("leadership not confirmed: {error}")))
+                    }
+                    Err(_) => Err(ApiError::unavailable("leadership not confirmed: no quorum")),
                 }
             };
-            if confirmed.is_ok() {
-                self.known_as_of(at);
+            if confirmation.is_ok() {
+                self.advance_list_as_of(started_at);
             }
-            for told in waiting {
-                let _ = told.send(confirmed.clone());
+            for reply in replies {
+                let _ = reply.send(confirmation.clone());
             }
-            sleep_until(at + CONFIRM_EACH).await;
+            sleep_until(started_at + CONFIRM_INTERVAL).await;
         }
     }
 
-    pub(super) fn known_as_of(&self, at: Instant) {
-        let mut as_of = lock(&self.as_of);
-        *as_of = Some(as_of.map_or(at, |known| known.max(at)));
+    /// Records that the list was current at a time.
+    pub(super) fn advance_list_as_of(&self, time: Instant) {
+        let mut list_as_of = lock(&self.list_as_of);
+        *list_as_of = Some(list_as_of.map_or(time, |known| known.max(time)));
     }
 
-    /// Asks again and again how far the list has come, and so knows how old its own may be; never ends.
-    pub(super) async fn stay_fresh(self: Arc<Self>) {
+    /// Periodically obtains the commit index from the leader and waits until it is applied, which bounds the age of the
+    /// list.
+    pub(super) async fn refresh_list_age(self: Arc<Self>) {
         loop {
-            let at = Instant::now();
-            let confirmed = match self.leader() {
-                Some((leader, _)) if leader == self.id => self.confirm().await,
+            let started_at = Instant::now();
+            let confirmation = match self.leader() {
+                Some((leader, _)) if leader == self.id => self.confirm_leadership().await,
                 Some((leader, place)) => {
-                    self.ask(place.peer, Some(leader), DO, &Operation::Confirm, CONFIRM * 2).await
+                    self.call_peer(
+                        place.peer,
+                        Some(leader),
+                        OPERATION_PATH,
+                        &Operation::Confirm,
+                        CONFIRM_TIMEOUT * 2,
+                    )
+                    .await
                 }
-                None => Err(Trouble::later("no leader is known")),
+                None => Err(ApiError::unavailable("no leader is known")),
             };
-            match confirmed {
-                Ok(Confirmed { index, .. }) => {
-                    let applied = self.raft.wait(Some(CONFIRM));
+            match confirmation {
+                Ok(LeadershipConfirmation { index, .. }) => {
+                    let applied = self.raft.wait(Some(CONFIRM_TIMEOUT));
                     if applied.applied_index_at_least(index, "fresh").await.is_ok() {
-                        self.known_as_of(at);
+                        self.advance_list_as_of(started_at);
                     }
                 }
-                Err(trouble) => tracing::debug!(cause = trouble.text, "the list can't be confirmed"),
+                Err(error) => tracing::debug!(cause = error.message, "list age not confirmed"),
             }
-            sleep_until(at + FRESHEN).await;
+            sleep_until(started_at + AGE_REFRESH_INTERVAL).await;
         }
     }
 }
--- a/registry/src/replica/forward.rs
+++ b/registry/src/replica/forward.rs
@@ -1,4 +1,4 @@
-//! What one replica asks of another, and what it takes to whoever leads.
+//! Calls to other replicas, and forwarding of operations to the leader.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,99 +11,110 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
 
-use super::{CONFIRM_EACH, DO, MOST_LIVES, Operation, Renewing, Replica, SOON, Trouble};
+use super::{
+    ApiError, CONFIRM_INTERVAL, MAX_RENEWALS_PER_CALL, OPERATION_PATH, Operation, PendingRenewal,
+    RETRY_AFTER, Replica,
+};
 use crate::raft::{Place, ReplicaId};
 use crate::wire::{ErrorBody, Renewal, RenewalResponse};
 
-/// A replica that leads answers another one by then; a command's own time is in it.
-const FORWARD: Duration = Duration::from_secs(4);
-const MOST_ANSWER: usize = 1024 * 1024;
+/// Timeout of a forwarded operation, which includes the time that the leader needs to replicate a command.
+const FORWARD_TIMEOUT: Duration = Duration::from_secs(4);
+const MAX_RESPONSE_BYTES: usize = 1024 * 1024;
 
 impl Replica {
-    pub(super) async fn send_on(
+    /// Forwards an operation to the leader.
+    pub(super) async fn forward(
         &self,
         leader: ReplicaId,
         place: Place,
         operation: &Operation,
-    ) -> Result<Value, Trouble> {
-        let _one_of_few = self.sent_on.acquire().await;
-        self.ask(place.peer, Some(leader), DO, operation, FORWARD).await
+    ) -> Result<Value, ApiError> {
+        let _permit = self.forward_permits.acquire().await;
+        self.call_peer(place.peer, Some(leader), OPERATION_PATH, operation, FORWARD_TIMEOUT).await
     }
 
-    pub(super) async fn renew_elsewhere(&self, renewal: Renewal) -> Result<Value, Trouble> {
-        let (told, renewed) = oneshot::channel();
-        self.renewals.try_send((renewal, told)).map_err(|_| Trouble::later("too many renewals wait"))?;
-        let renewed = renewed.await.unwrap_or_else(|_| Err(Trouble::later("the program ends")))?;
-        serde_json::to_value(renewed).map_err(|error| Trouble::refused(500, error.to_string()))
+    /// Queues a renewal for the leader and waits for the response.
+    pub(super) async fn forward_renewal(&self, renewal: Renewal) -> Result<Value, ApiError> {
+        let (reply, response) = oneshot::channel();
+        self.renewal_queue
+            .try_send((renewal, reply))
+            .map_err(|_| ApiError::unavailable("too many renewals are queued"))?;
+        let response =
+            response.await.unwrap_or_else(|_| Err(ApiError::unavailable("the replica is shutting down")))?;
+        serde_json::to_value(response).map_err(|error| ApiError::new(500, error.to_string()))
     }
 
-    /// Takes renewals to the leader, all that have come in meanwhile in one call; never ends.
-    pub(super) async fn send_renewals_on(self: Arc<Self>, mut renewing: mpsc::Receiver<Renewing>) {
-        while let Some((first, told)) = renewing.recv().await {
-            let at = Instant::now();
-            let mut parts = vec![(first.lives.clone(), told)];
-            let mut lives = first.lives;
-            while lives.len() < MOST_LIVES
-                && let Ok((next, told)) = renewing.try_recv()
+    /// Forwards queued renewals to the leader, in batches.
+    pub(super) async fn process_renewals(self: Arc<Self>, mut receiver: mpsc::Receiver<PendingRenewal>) {
+        while let Some((first, reply)) = receiver.recv().await {
+            let sent_at = Instant::now();
+            let mut batch = vec![(first.lives.clone(), reply)];
+            let mut keys = first.lives;
+            while keys.len() < MAX_RENEWALS_PER_CALL
+                && let Ok((next, reply)) = receiver.try_recv()
             {
-                lives.extend(next.lives.iter().cloned());
-                parts.push((next.lives, told));
+                keys.extend(next.lives.iter().cloned());
+                batch.push((next.lives, reply));
             }
-            let own = self.clone();
-            // The next ones need not wait for the answer to these.
+            let replica = self.clone();
+            // The next batch does not wait for the response.
             tokio::spawn(async move {
-                let operation = Operation::Renew(Renewal { lives });
-                let renewed: Result<RenewalResponse, Trouble> = match own.leader() {
-                    Some((leader, place)) if leader != own.id => {
-                        let _one_of_few = own.sent_on.acquire().await;
-                        own.ask(place.peer, Some(leader), DO, &operation, FORWARD).await
+                let operation = Operation::Renew(Renewal { lives: keys });
+                let response: Result<RenewalResponse, ApiError> = match replica.leader() {
+                    Some((leader, place)) if leader != replica.id => {
+                        let _permit = replica.forward_permits.acquire().await;
+                        replica
+                            .call_peer(place.peer, Some(leader), OPERATION_PATH, &operation, FORWARD_TIMEOUT)
+                            .await
                     }
-                    _ => Err(Trouble::later("the lead has moved")),
+                    _ => Err(ApiError::unavailable("leadership has moved to another replica")),
                 };
-                for (lives, told) in parts {
-                    // Whoever asked may have gone.
-                    let _ = told.send(renewed.clone().map(|renewed| {
+                for (keys, reply) in batch {
+                    // The receiver is gone if the call was cancelled.
+                    let _ = reply.send(response.clone().map(|response| {
                         RenewalResponse {
-                            unknown: lives
+                            unknown: keys
                                 .into_iter()
-                                .map(|life| life.uid)
-                                .filter(|uid| renewed.unknown.contains(uid))
+                                .map(|key| key.uid)
+                                .filter(|uid| response.unknown.contains(uid))
                                 .collect(),
-                            ..renewed
+                            ..response
                         }
                     }));
                 }
             });
-            sleep_until(at + CONFIRM_EACH).await;
+            sleep_until(sent_at + CONFIRM_INTERVAL).await;
         }
     }
 
-    pub(super) async fn ask<A: DeserializeOwned>(
+    /// Sends a call to another replica. If `to` is given, only the replica with this ID processes it.
+    pub(super) async fn call_peer<Resp: DeserializeOwned>(
         &self,
         peer: SocketAddr,
         to: Option<ReplicaId>,
         path: &str,
         body: &impl Serialize,
-        patience: Duration,
-    ) -> Result<A, Trouble> {
-        let body = serde_json::to_vec(body).map_err(|error| Trouble::refused(500, error.to_string()))?;
-        let answer = self.peers.call(peer, to, Call::post(path, body, patience, MOST_ANSWER)).await;
-        let answer = match answer {
-            Ok(answer) => answer,
+        timeout: Duration,
+    ) -> Result<Resp, ApiError> {
+        let body = serde_json::to_vec(body).map_err(|error| ApiError::new(500, error.to_string()))?;
+        let response = self.peers.call(peer, to, Call::post(path, body, timeout, MAX_RESPONSE_BYTES)).await;
+        let response = match response {
+            Ok(response) => response,
             Err(CallError::Connect(error)) => {
-                return Err(Trouble::later(format!("replica {peer} can't be reached: {error}")));
+                return Err(ApiError::unavailable(format!("replica {peer} can't be reached: {error}")));
             }
-            Err(error) => return Err(Trouble::unknown(&format!("replica {peer}: {error}"))),
+            Err(error) => return Err(ApiError::outcome_unknown(&format!("replica {peer}: {error}"))),
         };
-        if answer.status == hyper::StatusCode::OK {
-            return serde_json::from_slice(&answer.body)
-                .map_err(|error| Trouble::refused(502, format!("replica {peer}: {error}")));
+        if response.status == hyper::StatusCode::OK {
+            return serde_json::from_slice(&response.body)
+                .map_err(|error| ApiError::new(502, format!("replica {peer}: {error}")));
         }
-        let text = ErrorBody::message(&answer.body);
-        let status = answer.status.as_u16();
-        let again = matches!(status, 421 | 503 | 504).then_some(SOON);
-        // One that is not the replica that was meant will not become it.
+        let message = ErrorBody::message(&response.body);
+        let status = response.status.as_u16();
+        let retry_after = matches!(status, 421 | 503 | 504).then_some(RETRY_AFTER);
+        // 421 means that another replica is at this address. It concerns the peer, not the client.
         let status = if status == 421 { 503 } else { status };
-        Err(Trouble { status, text, again })
+        Err(ApiError { status, message, retry_after })
     }
 }
--- a/registry/src/replica/leadership.rs
+++ b/registry/src/replica/leadership.rs
@@ -1,4 +1,4 @@
-//! The leader's office: the leases that it keeps for its time, and its silence when nobody answers.
+//! The leader's duties during its term: leases, and stepping aside when no quorum responds.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -8,155 +8,172 @@
 use serde_json::{Value, json};
 use tokio::time::{Instant, sleep, timeout};
 
-use super::{Office, Replica, Trouble, lock, unix_s};
+use super::{ApiError, Leadership, Replica, lock, unix_s};
 use crate::leases::Leases;
 use crate::list::{Command, revision_floor};
 use crate::wire::{InstanceKey, Renewal, RenewalResponse, SuspectDecision};
 
 impl Replica {
+    /// Nanoseconds since the start of the replica, the clock of the leases.
     pub(super) fn now(&self) -> u64 {
-        self.began.elapsed().as_nanos() as u64
+        self.started_at.elapsed().as_nanos() as u64
     }
 
-    /// While this replica leads: keeps the leases, and tells the list of those that lapse; never ends.
-    pub(super) async fn hold_office(self: Arc<Self>) {
-        let look = Duration::from_millis((self.settings.lease_ms / 20).clamp(50, 250));
+    /// While this replica is the leader, checks its leases periodically and replicates the resulting commands.
+    pub(super) async fn run_leadership(self: Arc<Self>) {
+        let check_interval = Duration::from_millis((self.settings.lease_ms / 20).clamp(50, 250));
         let mut changes = self.raft.server_metrics();
-        let mut heard = Instant::now();
+        let mut last_quorum_contact = Instant::now();
         loop {
-            let Some(term) = self.leads() else {
-                if lock(&self.office).take().is_some() {
-                    tracing::info!("the lead has gone to another replica");
+            let Some(term) = self.leading_term() else {
+                if lock(&self.leadership).take().is_some() {
+                    tracing::info!("leadership lost");
                 }
-                self.fall_silent(false);
-                heard = Instant::now();
-                let _ = timeout(look, changes.changed()).await;
+                self.set_suppressed(false);
+                last_quorum_contact = Instant::now();
+                let _ = timeout(check_interval, changes.changed()).await;
                 continue;
             };
-            heard = lock(&self.as_of).map_or(heard, |as_of| as_of.max(heard));
-            self.fall_silent(self.is_unheard(heard.elapsed()));
-            if lock(&self.office).as_ref().is_none_or(|office| office.term != term) {
-                self.come_into_office(term).await;
+            last_quorum_contact = lock(&self.list_as_of)
+                .map_or(last_quorum_contact, |list_as_of| list_as_of.max(last_quorum_contact));
+            self.set_suppressed(self.should_suppress(last_quorum_contact.elapsed()));
+            if lock(&self.leadership).as_ref().is_none_or(|leadership| leadership.term != term) {
+                self.begin_term(term).await;
             } else {
-                self.look_after_leases().await;
+                self.expire_leases().await;
             }
-            sleep(look).await;
+            sleep(check_interval).await;
         }
     }
 
-    /// Whether a leader whom no majority has answered for so long should fall silent: its word may still reach the others
-    /// and keep them from standing, while their answers are lost. Now and then it speaks again, or it would never learn
-    /// that they hear each other again.
-    pub(super) fn is_unheard(&self, unheard: Duration) -> bool {
+    /// Returns whether a leader without quorum contact for this long should stop sending messages. If only the responses
+    /// are lost, its heartbeats would keep the other replicas from electing another leader. It resumes periodically, to
+    /// detect when the connection has recovered.
+    pub(super) fn should_suppress(&self, since_quorum: Duration) -> bool {
         let election = Duration::from_millis(self.settings.election_ms);
-        let (patience, round) = (election * 4, election * 16);
-        unheard > patience && unheard.as_millis() % round.as_millis() >= patience.as_millis()
+        let (grace, cycle) = (election * 4, election * 16);
+        since_quorum > grace && since_quorum.as_millis() % cycle.as_millis() >= grace.as_millis()
     }
 
-    pub(super) fn fall_silent(&self, silent: bool) {
-        if self.leaving.load(Ordering::Relaxed) || self.peers.is_suppressed() == silent {
+    /// Stops or resumes sending leader messages, except during a transfer of leadership.
+    pub(super) fn set_suppressed(&self, suppressed: bool) {
+        if self.transferring.load(Ordering::Relaxed) || self.peers.is_suppressed() == suppressed {
             return;
         }
-        if silent {
-            tracing::warn!("no majority answers: falls silent, so that another one may lead");
+        if suppressed {
+            tracing::warn!("no quorum responds: heartbeats suspended so that another leader can be elected");
         }
-        self.peers.suppress_leader_messages(silent);
+        self.peers.suppress_leader_messages(suppressed);
     }
 
-    /// After each election that this replica stood in and did not win, it waits for a while drawn anew. The library draws
-    /// its patience once for a process: two that drew alike would go on splitting the votes. Never ends.
-    pub(super) async fn spread_elections(self: Arc<Self>) {
+    /// Adds a random delay before each further candidacy. openraft draws the election timeout only once per process, so
+    /// two replicas with similar timeouts would keep splitting the vote.
+    pub(super) async fn randomize_election_delay(self: Arc<Self>) {
         let mut changes = self.raft.server_metrics();
         while changes.changed().await.is_ok() {
             if changes.borrow_and_update().state == ServerState::Candidate {
                 self.raft.runtime_config().elect(false);
-                let longest = 2 * self.settings.election_ms;
-                sleep(Duration::from_millis((rand::random::<f64>() * longest as f64) as u64)).await;
+                let max_delay = 2 * self.settings.election_ms;
+                sleep(Duration::from_millis((rand::random::<f64>() * max_delay as f64) as u64)).await;
                 self.raft.runtime_config().elect(true);
             }
         }
     }
 
-    pub(super) async fn come_into_office(&self, term: u64) {
-        *lock(&self.office) = None;
-        if let Err(trouble) = self.confirm().await {
-            tracing::warn!(cause = trouble.text, "the lead is in doubt");
+    /// Prepares a new leader: confirms its leadership, initializes the list if it is new, and creates the leases.
+    pub(super) async fn begin_term(&self, term: u64) {
+        *lock(&self.leadership) = None;
+        if let Err(error) = self.confirm_leadership().await {
+            tracing::warn!(cause = error.message, "leadership not confirmed");
             return;
         }
         if self.shared.read().list.incarnation() == 0 {
             let past = revision_floor(unix_s());
-            if let Err(trouble) = self.write_any(Command::Begin { past }).await {
-                tracing::warn!(cause = trouble.text, "the list can't be begun");
+            if let Err(error) = self.propose(Command::Begin { past }).await {
+                tracing::warn!(cause = error.message, "the list could not be initialized");
                 return;
             }
         }
         let leases = Leases::new(self.settings.lease_policy(), &self.shared.read().list, self.now());
-        tracing::info!(term, leases = leases.len(), rev = self.rev(), "leads: every lease has its full time");
+        tracing::info!(
+            term,
+            leases = leases.len(),
+            rev = self.rev(),
+            "elected as leader: all leases renewed"
+        );
         self.metrics.terms_led.inc();
-        *lock(&self.office) = Some(Office { term, leases });
+        *lock(&self.leadership) = Some(Leadership { term, leases });
     }
 
-    pub(super) async fn look_after_leases(&self) {
+    /// Checks the leases and replicates the commands for those that have expired.
+    pub(super) async fn expire_leases(&self) {
         let commands = {
-            let mut office = lock(&self.office);
-            let Some(office) = office.as_mut() else { return };
+            let mut leadership = lock(&self.leadership);
+            let Some(leadership) = leadership.as_mut() else { return };
             let (state, now) = (self.shared.read(), self.now());
-            office.leases.sync(&state.list, now);
-            office.leases.expire(&state.list, now)
+            leadership.leases.sync(&state.list, now);
+            leadership.leases.expire(&state.list, now)
         };
         for command in commands {
             self.metrics.lapses.inc();
             match &command {
                 Command::Suspect(lives) => {
-                    tracing::warn!(count = lives.len(), "too many leases lapsed at once: held as suspects");
+                    tracing::warn!(
+                        count = lives.len(),
+                        "too many leases expired at once: instances marked as suspects"
+                    );
                 }
-                Command::Leave { uid, .. } => tracing::info!(uid, "its lease has lapsed"),
+                Command::Leave { uid, .. } => tracing::info!(uid, "lease expired: removing instance"),
                 _ => {}
             }
-            if let Err(trouble) = self.write(command).await {
-                tracing::warn!(cause = trouble.text, "a lapse could not be written");
+            if let Err(error) = self.write(command).await {
+                tracing::warn!(cause = error.message, "expired lease could not be replicated");
             }
         }
     }
 
-    pub(super) async fn renew(&self, renewal: Renewal) -> Result<Value, Trouble> {
-        // Whoever only believes to lead renews nothing.
-        let confirmed = self.confirm().await?;
+    /// Renews leases. Only the leader can do this.
+    pub(super) async fn renew(&self, renewal: Renewal) -> Result<Value, ApiError> {
+        // A former leader that does not know of its successor yet must not renew leases.
+        let confirmation = self.confirm_leadership().await?;
         let mut unknown = Vec::new();
-        let mut cleared = Vec::new();
+        let mut cleared_suspects = Vec::new();
         {
-            let mut office = lock(&self.office);
-            let office = office.as_mut().filter(|office| office.term == confirmed.term);
-            let office = office.ok_or_else(|| Trouble::later("the leader has just come into office"))?;
+            let mut leadership = lock(&self.leadership);
+            let leadership = leadership.as_mut().filter(|leadership| leadership.term == confirmation.term);
+            let leadership = leadership
+                .ok_or_else(|| ApiError::unavailable("the leader was just elected and is not ready yet"))?;
             let now = self.now();
-            office.leases.sync(&self.shared.read().list, now);
+            leadership.leases.sync(&self.shared.read().list, now);
             for InstanceKey { uid, boot_ms } in &renewal.lives {
-                match office.leases.renew(uid, *boot_ms, now) {
-                    Ok(Some(Command::Clear(lives))) => cleared.extend(lives),
+                match leadership.leases.renew(uid, *boot_ms, now) {
+                    Ok(Some(Command::Clear(lives))) => cleared_suspects.extend(lives),
                     Ok(_) => {}
                     Err(_) => unknown.push(uid.clone()),
                 }
             }
         }
         self.metrics.renewals.inc_by((renewal.lives.len() - unknown.len()) as u64);
-        if !cleared.is_empty() {
-            self.write(Command::Clear(cleared)).await?;
+        if !cleared_suspects.is_empty() {
+            self.write(Command::Clear(cleared_suspects)).await?;
         }
         serde_json::to_value(RenewalResponse { lease_ms: self.settings.lease_ms, unknown })
-            .map_err(|error| Trouble::refused(500, error.to_string()))
+            .map_err(|error| ApiError::new(500, error.to_string()))
     }
 
-    pub(super) async fn decide(&self, decision: SuspectDecision) -> Result<Value, Trouble> {
-        let confirmed = self.confirm().await?;
+    /// Applies an operator's decision on the suspects of a zone.
+    pub(super) async fn resolve_suspects(&self, decision: SuspectDecision) -> Result<Value, ApiError> {
+        let confirmation = self.confirm_leadership().await?;
         let commands = {
-            let mut office = lock(&self.office);
-            let office = office.as_mut().filter(|office| office.term == confirmed.term);
-            let office = office.ok_or_else(|| Trouble::later("the leader has just come into office"))?;
+            let mut leadership = lock(&self.leadership);
+            let leadership = leadership.as_mut().filter(|leadership| leadership.term == confirmation.term);
+            let leadership = leadership
+                .ok_or_else(|| ApiError::unavailable("the leader was just elected and is not ready yet"))?;
             let state = self.shared.read();
-            office.leases.resolve_suspects(&state.list, &decision.zone, decision.alive, self.now())
+            leadership.leases.resolve_suspects(&state.list, &decision.zone, decision.alive, self.now())
         };
         if commands.is_empty() {
-            return Err(Trouble::refused(404, format!("zone {:?} has no suspects", decision.zone)));
+            return Err(ApiError::new(404, format!("zone {:?} has no suspects", decision.zone)));
         }
         let mut concerned = 0;
         for command in commands {
--- a/registry/src/replica/membership.rs
+++ b/registry/src/replica/membership.rs
@@ -1,4 +1,4 @@
-//! Who the replicas are: one comes, goes, takes the lead, or comes anew without its store; and how a registry begins.
+//! Membership changes, transfer of leadership, and bootstrap of a new registry.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -10,10 +10,14 @@
 use serde_json::{Value, json};
 use tokio::time::{sleep, timeout};
 
-use super::{BEGIN, CATCH_UP, CONFIRM, ELECT, Operation, Replica, Trouble, WHO, Who};
+use super::{
+    ApiError, BOOTSTRAP_INTERVAL, CATCH_UP_TIMEOUT, CONFIRM_TIMEOUT, ELECT_PATH, IDENTITY_PATH, Operation,
+    Replica, ReplicaIdentity,
+};
 use crate::raft::{Place, ReplicaId};
 
 impl Replica {
+    /// Returns all members, including learners.
     pub(super) fn members(&self) -> BTreeMap<ReplicaId, Place> {
         let membership = self.raft.metrics().borrow().membership_config.clone();
         membership.nodes().map(|(id, place)| (*id, *place)).collect()
@@ -23,125 +27,146 @@
         self.raft.metrics().borrow().membership_config.voter_ids().collect()
     }
 
-    pub(super) fn member_at(&self, peer: SocketAddr) -> Result<ReplicaId, Trouble> {
-        let found = self.members().into_iter().find(|(_, place)| place.peer == peer);
-        found
+    /// Returns the ID of the member with this peer address.
+    pub(super) fn replica_at(&self, peer: SocketAddr) -> Result<ReplicaId, ApiError> {
+        let entry = self.members().into_iter().find(|(_, place)| place.peer == peer);
+        entry
             .map(|(id, _)| id)
-            .ok_or_else(|| Trouble::refused(404, format!("no replica has the peer address {peer}")))
+            .ok_or_else(|| ApiError::new(404, format!("no replica has the peer address {peer}")))
     }
 
-    pub(super) async fn learner(&self, id: ReplicaId, place: Place) -> Result<(), Trouble> {
-        let added = timeout(CATCH_UP, self.raft.add_learner(id, place, true)).await;
-        let added = added.map_err(|_| Trouble::later(format!("replica {} does not catch up", place.peer)))?;
-        added.map(|_| ()).map_err(|error| Trouble::later(error.to_string()))
+    /// Adds a learner and waits until it has caught up.
+    pub(super) async fn add_learner(&self, id: ReplicaId, place: Place) -> Result<(), ApiError> {
+        let added = timeout(CATCH_UP_TIMEOUT, self.raft.add_learner(id, place, true)).await;
+        let added = added
+            .map_err(|_| ApiError::unavailable(format!("replica {} did not catch up in time", place.peer)))?;
+        added.map(|_| ()).map_err(|error| ApiError::unavailable(error.to_string()))
     }
 
-    pub(super) async fn change(&self, change: ChangeMembers<ReplicaId, Place>) -> Result<Value, Trouble> {
-        let changed = timeout(CATCH_UP, self.raft.change_membership(change, false)).await;
-        let changed = changed.map_err(|_| Trouble::unknown("the replicas' change"))?;
-        changed.map_err(|error| Trouble::later(error.to_string()))?;
+    /// Changes the voters. Removed voters leave the membership.
+    pub(super) async fn change_membership(
+        &self,
+        change: ChangeMembers<ReplicaId, Place>,
+    ) -> Result<Value, ApiError> {
+        let changed = timeout(CATCH_UP_TIMEOUT, self.raft.change_membership(change, false)).await;
+        let changed = changed.map_err(|_| ApiError::outcome_unknown("membership change"))?;
+        changed.map_err(|error| ApiError::unavailable(error.to_string()))?;
         Ok(json!({"replicas": self.members().len()}))
     }
 
-    pub(super) async fn add(&self, peer: SocketAddr) -> Result<Value, Trouble> {
-        let who: Who = self.ask(peer, None, WHO, &json!({}), CONFIRM).await?;
-        if self.voters().contains(&who.id) {
-            return Err(Trouble::refused(409, format!("replica {peer} is one already")));
+    /// Adds a running replica that belongs to no registry yet.
+    pub(super) async fn add_replica(&self, peer: SocketAddr) -> Result<Value, ApiError> {
+        let identity: ReplicaIdentity =
+            self.call_peer(peer, None, IDENTITY_PATH, &json!({}), CONFIRM_TIMEOUT).await?;
+        if self.voters().contains(&identity.id) {
+            return Err(ApiError::new(409, format!("replica {peer} is already a member")));
         }
-        if who.begun && !self.members().contains_key(&who.id) {
-            return Err(Trouble::refused(
+        if identity.begun && !self.members().contains_key(&identity.id) {
+            return Err(ApiError::new(
                 409,
-                format!("replica {peer} belongs to another registry: empty its store"),
+                format!("replica {peer} belongs to another registry: its store must be deleted first"),
             ));
         }
-        self.learner(who.id, who.place).await?;
-        tracing::info!(replica = who.id, %peer, "replica added");
-        self.change(ChangeMembers::AddVoterIds([who.id].into())).await
+        self.add_learner(identity.id, identity.place).await?;
+        tracing::info!(replica = identity.id, %peer, "adding replica");
+        self.change_membership(ChangeMembers::AddVoterIds([identity.id].into())).await
     }
 
-    pub(super) async fn remove(&self, peer: SocketAddr) -> Result<Value, Trouble> {
-        let id = self.member_at(peer)?;
+    /// Removes a replica, which need not be running.
+    pub(super) async fn remove_replica(&self, peer: SocketAddr) -> Result<Value, ApiError> {
+        let id = self.replica_at(peer)?;
         if self.voters().len() <= 1 {
-            return Err(Trouble::refused(409, "the last replica can't be removed"));
+            return Err(ApiError::new(409, "the last replica can't be removed"));
         }
-        tracing::info!(replica = id, %peer, "replica removed");
-        self.change(ChangeMembers::RemoveVoters([id].into())).await
+        tracing::info!(replica = id, %peer, "removing replica");
+        self.change_membership(ChangeMembers::RemoveVoters([id].into())).await
     }
 
-    /// A replica at a known address has lost its store and comes under another name: it takes the old one's place.
-    pub(super) async fn join(&self, id: ReplicaId, place: Place) -> Result<Value, Trouble> {
+    /// Replaces a member by a replica at the same peer address that has a new ID because it has lost its store.
+    pub(super) async fn replace_replica(&self, id: ReplicaId, place: Place) -> Result<Value, ApiError> {
         let members = self.members();
         if self.voters().contains(&id) {
             return Ok(json!({"replicas": members.len()}));
         }
         let Some((&lost, _)) = members.iter().find(|(known, at)| **known != id && at.peer == place.peer)
         else {
-            return Err(Trouble::refused(403, format!("no replica is expected at {}: add it", place.peer)));
+            return Err(ApiError::new(
+                403,
+                format!("no member has the peer address {}: add the replica first", place.peer),
+            ));
         };
-        tracing::warn!(lost, replica = id, peer = %place.peer, "a replica lost its store: it comes anew");
-        self.learner(id, place).await?;
+        tracing::warn!(lost, replica = id, peer = %place.peer, "replacing a replica that has lost its store");
+        self.add_learner(id, place).await?;
         let mut voters = self.voters();
         voters.remove(&lost);
         voters.insert(id);
-        self.change(ChangeMembers::ReplaceAllVoters(voters)).await
+        self.change_membership(ChangeMembers::ReplaceAllVoters(voters)).await
     }
 
-    /// Gives the lead away: falls silent for the time of its lease, after which another one may stand.
-    pub(super) async fn hand_over(&self, peer: SocketAddr) -> Result<Value, Trouble> {
-        let to = self.member_at(peer)?;
-        if to == self.id {
+    /// Transfers leadership to another replica. Stops sending heartbeats until the leader's lease has expired, then makes
+    /// the target start an election.
+    pub(super) async fn transfer_leadership(&self, peer: SocketAddr) -> Result<Value, ApiError> {
+        let target = self.replica_at(peer)?;
+        if target == self.id {
             return Ok(json!({"leader": peer}));
         }
-        if !self.voters().contains(&to) {
-            return Err(Trouble::refused(409, format!("replica {peer} has no vote yet")));
+        if !self.voters().contains(&target) {
+            return Err(ApiError::new(409, format!("replica {peer} is not a voter")));
         }
-        if self.leaving.swap(true, Ordering::Relaxed) {
-            return Err(Trouble::later("the lead is being handed over"));
+        if self.transferring.swap(true, Ordering::Relaxed) {
+            return Err(ApiError::unavailable("leadership is being transferred"));
         }
-        tracing::info!(replica = to, %peer, "hands the lead over");
+        tracing::info!(replica = target, %peer, "transferring leadership");
         self.peers.suppress_leader_messages(true);
         sleep(Duration::from_millis(2 * self.settings.election_ms + self.settings.heartbeat_ms / 2)).await;
-        let stood: Result<Value, Trouble> = self.ask(peer, Some(to), ELECT, &json!({}), CONFIRM).await;
-        let taken = self.raft.wait(Some(Duration::from_secs(3)));
-        let taken = taken.metrics(|metrics| metrics.current_leader == Some(to), "the lead passes").await;
+        let elected: Result<Value, ApiError> =
+            self.call_peer(peer, Some(target), ELECT_PATH, &json!({}), CONFIRM_TIMEOUT).await;
+        let transferred = self.raft.wait(Some(Duration::from_secs(3)));
+        let transferred = transferred
+            .metrics(|metrics| metrics.current_leader == Some(target), "leadership transfer")
+            .await;
         self.peers.suppress_leader_messages(false);
-        self.leaving.store(false, Ordering::Relaxed);
-        stood?;
-        taken.map_err(|_| Trouble::later(format!("replica {peer} was not elected")))?;
+        self.transferring.store(false, Ordering::Relaxed);
+        elected?;
+        transferred.map_err(|_| ApiError::unavailable(format!("replica {peer} was not elected")))?;
         Ok(json!({"leader": peer}))
     }
 
-    /// A new registry begins once all its replicas are there and none belongs to one; a replica that lost its store
-    /// joins the others again.
-    pub(super) async fn begin(self: Arc<Self>) {
+    /// Bootstraps an uninitialized replica. If another configured replica is initialized, this one asks to join it.
+    /// Otherwise, once all configured replicas are reachable, the one with the lowest peer address initializes the
+    /// registry.
+    pub(super) async fn bootstrap(self: Arc<Self>) {
         let own = self.settings.place();
-        let others: Vec<SocketAddr> =
+        let peers: Vec<SocketAddr> =
             self.settings.replicas.iter().copied().filter(|peer| *peer != own.peer).collect();
         while !self.raft.is_initialized().await.unwrap_or(true) {
-            let mut fresh = BTreeMap::from([(self.id, own)]);
-            for peer in &others {
-                match self.ask::<Who>(*peer, None, WHO, &json!({}), CONFIRM).await {
-                    Ok(who) if who.begun => {
+            let mut initial_members = BTreeMap::from([(self.id, own)]);
+            for peer in &peers {
+                match self
+                    .call_peer::<ReplicaIdentity>(*peer, None, IDENTITY_PATH, &json!({}), CONFIRM_TIMEOUT)
+                    .await
+                {
+                    Ok(identity) if identity.begun => {
                         let join = Operation::Join { id: self.id, place: own };
-                        let joined: Result<Value, Trouble> =
-                            self.ask(*peer, None, "/peer/join", &join, CATCH_UP * 2).await;
-                        if let Err(trouble) = joined {
-                            tracing::warn!(%peer, cause = trouble.text, "can't join");
+                        let result: Result<Value, ApiError> =
+                            self.call_peer(*peer, None, "/peer/join", &join, CATCH_UP_TIMEOUT * 2).await;
+                        if let Err(error) = result {
+                            tracing::warn!(%peer, cause = error.message, "could not join the registry");
                         }
                     }
-                    Ok(who) => drop(fresh.insert(who.id, who.place)),
-                    Err(trouble) => tracing::debug!(%peer, cause = trouble.text, "not there yet"),
+                    Ok(identity) => drop(initial_members.insert(identity.id, identity.place)),
+                    Err(error) => tracing::debug!(%peer, cause = error.message, "replica not reachable yet"),
                 }
             }
-            let all = fresh.len() == others.len() + 1;
-            let first = fresh.values().all(|place| own.peer <= place.peer);
-            if all && first {
-                tracing::info!(replicas = fresh.len(), "a new registry begins");
-                if let Err(error) = self.raft.initialize(fresh).await {
-                    tracing::warn!(cause = %error, "it could not begin");
+            let all_present = initial_members.len() == peers.len() + 1;
+            let is_initiator = initial_members.values().all(|place| own.peer <= place.peer);
+            if all_present && is_initiator {
+                tracing::info!(replicas = initial_members.len(), "initializing a new registry");
+                if let Err(error) = self.raft.initialize(initial_members).await {
+                    tracing::warn!(cause = %error, "initialization of the registry failed");
                 }
             }
-            sleep(BEGIN).await;
+            sleep(BOOTSTRAP_INTERVAL).await;
         }
     }
 }
--- a/registry/src/replica/mod.rs
+++ b/registry/src/replica/mod.rs
@@ -1,9 +1,10 @@
-//! One replica: the consensus, the state, the leader's office, and what may be asked of them. It decides nothing on the
-//! list itself: that is [`crate::list`]'s and [`crate::leases`]'s.
+//! A replica of the registry: its Raft node, the replicated state, and the operations on them.
 //!
-//! Here are the replica itself and what may be asked of it. `consensus` is the way through the log and the majority's word,
-//! `leadership` what the leader keeps, `forward` what goes to whoever leads, `membership` who the replicas are, `status` how it
-//! stands.
+//! - `consensus` replicates commands and confirms leadership.
+//! - `leadership` keeps the leases while this replica is the leader.
+//! - `forward` calls other replicas and forwards operations to the leader.
+//! - `membership` adds, removes and replaces replicas, transfers leadership and bootstraps a new registry.
+//! - `status` reports the state of the replica.
 
 mod consensus;
 mod forward;
@@ -34,131 +35,132 @@
     Backup, BackupPart, InstanceKey, Renewal, RenewalResponse, ReplicaChange, SuspectDecision,
 };
 
-/// Commands, confirmations or renewals that wait.
-const MOST_WAITING: usize = 4096;
-/// A lead that is not confirmed by then is in doubt.
-const CONFIRM: Duration = Duration::from_secs(1);
-/// Confirmations are this far apart at least, however many wait for one.
-const CONFIRM_EACH: Duration = Duration::from_millis(20);
-/// A replica that comes has so long to catch up.
-const CATCH_UP: Duration = Duration::from_secs(30);
-/// How often a replica that belongs to nothing yet asks the others.
-const BEGIN: Duration = Duration::from_millis(300);
-/// When to ask again that was turned away for want of a leader.
-const SOON: Duration = Duration::from_millis(300);
-/// Renewals in one call.
-pub const MOST_LIVES: usize = 10_000;
-/// Calls that a replica has on their way to the leader at a time; the others wait.
-const MOST_SENT_ON: usize = 64;
-
-/// Where one replica asks another.
-pub const DO: &str = "/peer/do";
-/// Who a replica is.
-pub const WHO: &str = "/peer/who";
-/// Tells a replica to stand for the lead.
-pub const ELECT: &str = "/peer/elect";
-
-/// Why something was not done.
+/// Capacity of the queues of commands, confirmations and renewals.
+const QUEUE_CAPACITY: usize = 4096;
+/// Timeout of a confirmation of leadership, and of short calls to other replicas.
+const CONFIRM_TIMEOUT: Duration = Duration::from_secs(1);
+/// Minimum interval between confirmations of leadership, and between batches of forwarded renewals.
+const CONFIRM_INTERVAL: Duration = Duration::from_millis(20);
+/// Timeout for a new replica to catch up, and for a membership change.
+const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(30);
+/// Interval between attempts of an uninitialized replica to bootstrap or join a registry.
+const BOOTSTRAP_INTERVAL: Duration = Duration::from_millis(300);
+/// Delay after which a client should retry a call that failed temporarily.
+const RETRY_AFTER: Duration = Duration::from_millis(300);
+/// Maximum number of instances in a renewal.
+pub const MAX_RENEWALS_PER_CALL: usize = 10_000;
+/// Maximum number of concurrent calls that are forwarded to the leader.
+const MAX_FORWARDED_CALLS: usize = 64;
+
+/// Path at which a replica accepts operations from other replicas.
+pub const OPERATION_PATH: &str = "/peer/do";
+/// Path that returns the identity of a replica.
+pub const IDENTITY_PATH: &str = "/peer/who";
+/// Path that makes a replica start an election.
+pub const ELECT_PATH: &str = "/peer/elect";
+
+/// Why an operation failed, as an HTTP error.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Trouble {
-    /// The HTTP status that says of what kind the reason is.
+pub struct ApiError {
+    /// The HTTP status.
     pub status: u16,
-    /// The reason.
-    pub text: String,
-    /// When to ask again, if that may help.
-    pub again: Option<Duration>,
+    /// The error message.
+    pub message: String,
+    /// Delay after which a retry may succeed, if any.
+    pub retry_after: Option<Duration>,
 }
 
-impl Trouble {
-    /// What can't be done as it was asked.
-    pub fn refused(status: u16, text: impl Into<String>) -> Self {
-        Self { status, text: text.into(), again: None }
+impl ApiError {
+    /// Creates a permanent error.
+    pub fn new(status: u16, message: impl Into<String>) -> Self {
+        Self { status, message: message.into(), retry_after: None }
     }
 
-    /// What may be done a little later.
-    pub fn later(text: impl Into<String>) -> Self {
-        Self { status: 503, text: text.into(), again: Some(SOON) }
+    /// Creates a temporary error (503).
+    pub fn unavailable(message: impl Into<String>) -> Self {
+        Self { status: 503, message: message.into(), retry_after: Some(RETRY_AFTER) }
     }
 
-    fn unknown(what: &str) -> Self {
-        let text = format!("{what}: not known whether it was carried out; ask again");
-        Self { status: 504, text, again: Some(SOON) }
+    /// Creates an error (504) for an operation that may or may not have been applied.
+    fn outcome_unknown(what: &str) -> Self {
+        let message = format!("{what}: the outcome is unknown, retry");
+        Self { status: 504, message, retry_after: Some(RETRY_AFTER) }
     }
 }
 
-/// What is asked of whoever leads.
+/// An operation that the leader executes.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Operation {
-    /// An instance comes.
+    /// Registers an instance.
     Register(Instance),
-    /// Lives renew their leases.
+    /// Renews leases.
     Renew(Renewal),
-    /// A life drains.
+    /// Starts draining an instance.
     Drain(InstanceKey),
-    /// A life leaves.
+    /// Removes an instance.
     Leave(InstanceKey),
-    /// A person's word on suspects.
+    /// Resolves the suspects of a zone.
     Decide(SuspectDecision),
-    /// A part of a backup comes back.
+    /// Restores a part of a backup.
     Restore(BackupPart),
-    /// The replicas change.
+    /// Changes the replicas or the leader.
     Replicas(ReplicaChange),
-    /// How far the list has come, by a leader that is one.
+    /// Returns the commit index after a confirmation of leadership.
     Confirm,
-    /// A replica that lost its store comes again under another name.
+    /// Replaces a member that has lost its store and comes back with a new ID.
     Join {
-        /// Its new name.
+        /// The new ID.
         id: ReplicaId,
-        /// Where it is.
+        /// The addresses of the replica.
         place: Place,
     },
 }
 
-/// Who a replica is.
+/// The identity of a replica.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Who {
-    /// Its fleet.
+pub struct ReplicaIdentity {
+    /// The name of the fleet.
     pub fleet: String,
-    /// Its name.
+    /// The ID of the replica.
     pub id: ReplicaId,
-    /// Where it is.
+    /// The addresses of the replica.
     pub place: Place,
-    /// Whether it belongs to a registry already.
+    /// Whether the replica is initialized as a member of a registry.
     pub begun: bool,
 }
 
-/// A lead that was confirmed.
+/// A confirmation of leadership by a quorum.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-struct Confirmed {
-    /// Entries up to here were committed when it was asked for.
+struct LeadershipConfirmation {
+    /// The commit index at the time of the request.
     index: Option<u64>,
-    /// In which term.
+    /// The term of the leader.
     term: u64,
 }
 
-/// The leader's office: what it keeps for its time.
-struct Office {
+/// The state that a leader keeps during its term.
+struct Leadership {
     term: u64,
     leases: Leases,
 }
 
-type Confirmation = oneshot::Sender<Result<Confirmed, Trouble>>;
-type Renewing = (Renewal, oneshot::Sender<Result<RenewalResponse, Trouble>>);
-type Write = (Command, oneshot::Sender<Result<Applied, Trouble>>);
+type PendingConfirmation = oneshot::Sender<Result<LeadershipConfirmation, ApiError>>;
+type PendingRenewal = (Renewal, oneshot::Sender<Result<RenewalResponse, ApiError>>);
+type PendingWrite = (Command, oneshot::Sender<Result<Applied, ApiError>>);
 
 /// Why a replica can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// Its store.
+    /// The store failed to open.
     #[error("store: {0}")]
     Store(#[from] StoreError),
-    /// The consensus.
-    #[error("consensus: {0}")]
+    /// The Raft node failed to start.
+    #[error("Raft: {0}")]
     Raft(String),
 }
 
-/// One replica.
+/// A replica of the registry.
 pub struct Replica {
     settings: Settings,
     id: ReplicaId,
@@ -166,30 +168,31 @@
     store: Store,
     shared: Arc<SharedState>,
     peers: PeerPool,
-    /// Answers to watchers.
+    /// Cached responses to watchers.
     pub response_cache: ResponseCache,
-    /// What it counts.
+    /// The counters of the replica.
     pub metrics: Metrics,
-    /// Watches that wait.
+    /// Number of watches that are waiting for a change.
     pub watches: AtomicUsize,
-    /// Client connections.
+    /// Number of open client connections.
     pub connections: Arc<AtomicUsize>,
-    office: Mutex<Option<Office>>,
-    /// As of when the list is known to be true.
-    as_of: Mutex<Option<Instant>>,
-    began: Instant,
-    /// It is giving the lead away.
-    leaving: AtomicBool,
-    confirmations: mpsc::Sender<Confirmation>,
-    writes: mpsc::Sender<Write>,
-    /// Renewals for whoever leads.
-    renewals: mpsc::Sender<Renewing>,
-    /// Calls that are on their way to the leader.
-    sent_on: Semaphore,
+    /// Set while this replica is the leader and ready to execute operations.
+    leadership: Mutex<Option<Leadership>>,
+    /// The latest time at which the list is known to have been current.
+    list_as_of: Mutex<Option<Instant>>,
+    started_at: Instant,
+    /// Whether leadership is being transferred to another replica.
+    transferring: AtomicBool,
+    confirmation_queue: mpsc::Sender<PendingConfirmation>,
+    write_queue: mpsc::Sender<PendingWrite>,
+    /// Renewals to be forwarded to the leader.
+    renewal_queue: mpsc::Sender<PendingRenewal>,
+    /// Limits the calls that are forwarded to the leader.
+    forward_permits: Semaphore,
 }
 
-fn lock<T>(of: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
-    of.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 fn unix_s() -> u64 {
@@ -197,13 +200,13 @@
 }
 
 impl Replica {
-    /// Opens the store and starts the consensus; its tasks end with the runtime.
+    /// Opens the store and starts the Raft node. The background tasks run until the runtime shuts down.
     pub async fn start(settings: Settings) -> Result<Arc<Self>, StartError> {
-        // Below 2^53, so that every reader of JSON takes it whole.
-        let fresh = (rand::random::<u64>() >> 11).max(1);
-        let store = Store::open(&settings.data, &settings.fleet, fresh)?;
+        // Below 2^53, so that every JSON parser represents it exactly.
+        let new_id = (rand::random::<u64>() >> 11).max(1);
+        let store = Store::open(&settings.data, &settings.fleet, new_id)?;
         let id = store.id()?;
-        let raft_of = |error: &dyn std::fmt::Display| StartError::Raft(error.to_string());
+        let raft_error = |error: &dyn std::fmt::Display| StartError::Raft(error.to_string());
         let config = Config {
             cluster_name: settings.fleet.clone(),
             heartbeat_interval: settings.heartbeat_ms,
@@ -216,16 +219,16 @@
             max_in_snapshot_log_to_keep: settings.snapshot_every / 2,
             ..Config::default()
         };
-        let config = Arc::new(config.validate().map_err(|error| raft_of(&error))?);
+        let config = Arc::new(config.validate().map_err(|error| raft_error(&error))?);
         let peers = PeerPool::new(&settings.fleet, settings.via.clone());
-        let state_machine = StateMachine::open(store.clone()).await.map_err(|error| raft_of(&error))?;
+        let state_machine = StateMachine::open(store.clone()).await.map_err(|error| raft_error(&error))?;
         let shared = state_machine.shared();
         let raft = Raft::new(id, config, peers.clone(), store.clone(), state_machine).await;
-        let raft = raft.map_err(|error| raft_of(&error))?;
-        let (confirmations, asked) = mpsc::channel(MOST_WAITING);
-        let (writes, written) = mpsc::channel(MOST_WAITING);
-        let (renewals, renewing) = mpsc::channel(MOST_WAITING);
-        let own = Arc::new(Self {
+        let raft = raft.map_err(|error| raft_error(&error))?;
+        let (confirmation_queue, confirmation_receiver) = mpsc::channel(QUEUE_CAPACITY);
+        let (write_queue, write_receiver) = mpsc::channel(QUEUE_CAPACITY);
+        let (renewal_queue, renewal_receiver) = mpsc::channel(QUEUE_CAPACITY);
+        let replica = Arc::new(Self {
             id,
             raft,
             store,
@@ -235,99 +238,104 @@
             metrics: Metrics::default(),
             watches: AtomicUsize::new(0),
             connections: Arc::default(),
-            office: Mutex::default(),
-            as_of: Mutex::default(),
-            began: Instant::now(),
-            leaving: AtomicBool::new(false),
-            confirmations,
-            writes,
-            renewals,
-            sent_on: Semaphore::new(MOST_SENT_ON),
+            leadership: Mutex::default(),
+            list_as_of: Mutex::default(),
+            started_at: Instant::now(),
+            transferring: AtomicBool::new(false),
+            confirmation_queue,
+            write_queue,
+            renewal_queue,
+            forward_permits: Semaphore::new(MAX_FORWARDED_CALLS),
             settings,
         });
-        tracing::info!(replica = id, place = ?own.settings.place(), rev = own.rev(), "replica starts");
-        tokio::spawn(own.clone().confirm_all(asked));
-        tokio::spawn(own.clone().write_all(written));
-        tokio::spawn(own.clone().send_renewals_on(renewing));
-        tokio::spawn(own.clone().hold_office());
-        tokio::spawn(own.clone().spread_elections());
-        tokio::spawn(own.clone().stay_fresh());
-        tokio::spawn(own.clone().begin());
-        Ok(own)
+        tracing::info!(replica = id, place = ?replica.settings.place(), rev = replica.rev(), "replica started");
+        tokio::spawn(replica.clone().process_confirmations(confirmation_receiver));
+        tokio::spawn(replica.clone().process_writes(write_receiver));
+        tokio::spawn(replica.clone().process_renewals(renewal_receiver));
+        tokio::spawn(replica.clone().run_leadership());
+        tokio::spawn(replica.clone().randomize_election_delay());
+        tokio::spawn(replica.clone().refresh_list_age());
+        tokio::spawn(replica.clone().bootstrap());
+        Ok(replica)
     }
 
-    /// Ends the consensus; what is on disk stays.
+    /// Shuts down the Raft node.
     pub async fn stop(&self) {
-        // It ends with the process in any case.
+        // A shutdown that fails or times out is ignored: the process exits anyway.
         let _ = timeout(Duration::from_secs(2), self.raft.shutdown()).await;
     }
 
-    /// Its settings.
+    /// Returns the settings.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// Its name.
+    /// Returns the ID of the replica.
     pub fn id(&self) -> ReplicaId {
         self.id
     }
 
-    /// The consensus, for what other replicas send.
+    /// Returns the Raft node, for messages of other replicas.
     pub fn raft(&self) -> &Raft {
         &self.raft
     }
 
-    /// The list's version here.
+    /// Returns the revision of the local list.
     pub fn rev(&self) -> Rev {
         self.shared.read().list.rev()
     }
 
-    /// Tells of each new version.
+    /// Returns a receiver that is notified of each new revision.
     pub fn watch(&self) -> tokio::sync::watch::Receiver<Rev> {
         self.shared.watch()
     }
 
-    /// How old the list may be at most; none if it was never known to be true.
+    /// Returns the upper bound of the age of the list; `None` if it is unknown.
     pub fn age(&self) -> Option<Duration> {
-        lock(&self.as_of).map(|as_of| as_of.elapsed())
+        lock(&self.list_as_of).map(|list_as_of| list_as_of.elapsed())
     }
 
-    /// Who it is.
-    pub async fn who(&self) -> Who {
+    /// Returns the identity of the replica.
+    pub async fn identity(&self) -> ReplicaIdentity {
         let begun = self.raft.is_initialized().await.unwrap_or(true);
-        Who { fleet: self.settings.fleet.clone(), id: self.id, place: self.settings.place(), begun }
+        ReplicaIdentity {
+            fleet: self.settings.fleet.clone(),
+            id: self.id,
+            place: self.settings.place(),
+            begun,
+        }
     }
 
-    /// Stands for the lead.
-    pub async fn stand(&self) -> Result<Value, Trouble> {
-        let stood = self.raft.trigger().elect().await;
-        stood.map_err(|error| Trouble::refused(500, error.to_string()))?;
+    /// Starts an election.
+    pub async fn campaign(&self) -> Result<Value, ApiError> {
+        let result = self.raft.trigger().elect().await;
+        result.map_err(|error| ApiError::new(500, error.to_string()))?;
         Ok(json!({}))
     }
 
-    /// Why it is not ready, if it is not: it has to vouch for its list, and to know a leader.
+    /// Returns why the replica is not ready, if so: it must know a leader, and its list must be recent.
     pub fn not_ready_reason(&self) -> Option<String> {
-        if let Some(trouble) = self.trouble() {
-            return Some(trouble);
+        if let Some(error) = self.fatal_error() {
+            return Some(error);
         }
         if self.raft.metrics().borrow().current_leader.is_none() {
             return Some("no leader is known".to_owned());
         }
-        let most = Duration::from_millis(self.settings.ready_age_ms);
+        let max_age = Duration::from_millis(self.settings.ready_age_ms);
         match self.age() {
-            None => Some("the list was never confirmed".to_owned()),
-            Some(age) if age > most => Some(format!("the list may be {} ms old", age.as_millis())),
+            None => Some("the age of the list is unknown".to_owned()),
+            Some(age) if age > max_age => Some(format!("the list may be {} ms old", age.as_millis())),
             Some(_) => None,
         }
     }
 
-    /// What has gone wrong for good in this life.
-    fn trouble(&self) -> Option<String> {
-        if let Some(trouble) = self.store.first_write_error() {
-            return Some(format!("the store takes no more writes: {trouble}"));
+    /// Returns the error after which the replica must be restarted, if any.
+    fn fatal_error(&self) -> Option<String> {
+        if let Some(error) = self.store.first_write_error() {
+            return Some(format!("the store rejects writes after an error: {error}"));
         }
         let running = self.raft.metrics().borrow().running_state.clone();
-        running.err().map(|fatal| format!("the consensus has stopped: {fatal}"))
+        running.err().map(|fatal| format!("Raft has stopped: {fatal}"))
     }
 
     fn leader(&self) -> Option<(ReplicaId, Place)> {
@@ -338,35 +346,36 @@
         Some((leader, place))
     }
 
-    /// The term in which it leads, as far as it knows.
-    fn leads(&self) -> Option<u64> {
+    /// Returns the term in which this replica is the leader, as far as it knows.
+    fn leading_term(&self) -> Option<u64> {
         let metrics = self.raft.metrics();
         let metrics = metrics.borrow();
         (metrics.state == ServerState::Leader && metrics.current_leader == Some(self.id))
             .then_some(metrics.current_term)
     }
 
-    /// Does what is asked, here or at the replica that leads. What was sent on once is not sent on again.
-    pub async fn perform(&self, operation: Operation, sent_on: bool) -> Result<Value, Trouble> {
-        let done = match self.leader() {
-            Some((leader, _)) if leader == self.id => self.carry_out(operation).await,
-            Some((leader, place)) if !sent_on => match operation {
-                Operation::Renew(renewal) => self.renew_elsewhere(renewal).await,
-                operation => self.send_on(leader, place, &operation).await,
+    /// Executes an operation if this replica is the leader, and forwards it to the leader otherwise. An operation that was
+    /// `forwarded` already is not forwarded again.
+    pub async fn dispatch(&self, operation: Operation, forwarded: bool) -> Result<Value, ApiError> {
+        let result = match self.leader() {
+            Some((leader, _)) if leader == self.id => self.execute(operation).await,
+            Some((leader, place)) if !forwarded => match operation {
+                Operation::Renew(renewal) => self.forward_renewal(renewal).await,
+                operation => self.forward(leader, place, &operation).await,
             },
-            Some(_) => Err(Trouble::later("the lead has moved")),
-            None => match self.trouble() {
-                Some(trouble) => Err(Trouble::refused(507, trouble)),
-                None => Err(Trouble::later("no leader is known")),
+            Some(_) => Err(ApiError::unavailable("leadership has moved to another replica")),
+            None => match self.fatal_error() {
+                Some(error) => Err(ApiError::new(507, error)),
+                None => Err(ApiError::unavailable("no leader is known")),
             },
         };
-        if done.is_err() {
+        if result.is_err() {
             self.metrics.calls_refused.inc();
         }
-        done
+        result
     }
 
-    async fn carry_out(&self, operation: Operation) -> Result<Value, Trouble> {
+    async fn execute(&self, operation: Operation) -> Result<Value, ApiError> {
         let rev = |rev: Rev| json!({ "rev": rev });
         match operation {
             Operation::Register(instance) => {
@@ -380,23 +389,23 @@
                 self.write(Command::Leave { uid, boot_ms }).await.map(rev)
             }
             Operation::Renew(renewal) => self.renew(renewal).await,
-            Operation::Decide(decision) => self.decide(decision).await,
+            Operation::Decide(decision) => self.resolve_suspects(decision).await,
             Operation::Restore(BackupPart { part, parts, lines }) => {
                 let past = revision_floor(unix_s());
                 self.write(Command::Restore { part, parts, lines, past }).await.map(rev)
             }
             Operation::Confirm => {
-                let confirmed = self.confirm().await?;
-                serde_json::to_value(confirmed).map_err(|error| Trouble::refused(500, error.to_string()))
+                let confirmation = self.confirm_leadership().await?;
+                serde_json::to_value(confirmation).map_err(|error| ApiError::new(500, error.to_string()))
             }
-            Operation::Replicas(ReplicaChange::Add(peer)) => self.add(peer).await,
-            Operation::Replicas(ReplicaChange::Remove(peer)) => self.remove(peer).await,
-            Operation::Replicas(ReplicaChange::Lead(peer)) => self.hand_over(peer).await,
-            Operation::Join { id, place } => self.join(id, place).await,
+            Operation::Replicas(ReplicaChange::Add(peer)) => self.add_replica(peer).await,
+            Operation::Replicas(ReplicaChange::Remove(peer)) => self.remove_replica(peer).await,
+            Operation::Replicas(ReplicaChange::Lead(peer)) => self.transfer_leadership(peer).await,
+            Operation::Join { id, place } => self.replace_replica(id, place).await,
         }
     }
 
-    /// The list as a backup.
+    /// Returns a backup of the list.
     pub fn backup(&self) -> Backup {
         let state = self.shared.read();
         Backup {
--- a/registry/src/serve.rs
+++ b/registry/src/serve.rs
@@ -1,4 +1,4 @@
-//! A replica as a process: its doors, with bounds on who comes through them, and its end.
+//! Serves a replica on its client and peer addresses, with limits on connections.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -26,142 +26,155 @@
 use crate::replica::{Replica, StartError};
 use crate::settings::Settings;
 
-/// Connections that the system may hold before they are taken.
-const BACKLOG: u32 = 4096;
-/// A connection that stands idle for this long is closed, and one whose next call takes as long to come.
-const IDLE: Duration = Duration::from_secs(75);
-/// A peer that reads nothing for this long is hung up on.
-const READS: Duration = Duration::from_secs(5);
-/// Connections of the other replicas: more than all of them have calls on their way.
-const MOST_PEERS: usize = 1024;
-/// Bytes that a connection buffers at most; bodies pass through.
-const BUFFER: usize = 8 * 1024;
-/// A door whose system gives no connection waits this long.
-const NO_DESCRIPTOR: Duration = Duration::from_millis(50);
-
-/// Why a replica can't serve.
+/// Size of the accept queue of a listening socket.
+const LISTEN_BACKLOG: u32 = 4096;
+/// Time limit for the head of the next request on a connection, which includes idle time.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(75);
+/// Time limit for a blocked write: a connection whose peer does not read is closed.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum number of connections from other replicas, more than they need for concurrent calls.
+const MAX_PEER_CONNECTIONS: usize = 1024;
+/// Size limit of a connection's read and write buffers. Bodies may be larger.
+const MAX_BUFFER_BYTES: usize = 8 * 1024;
+/// Delay after a failed accept, for instance for lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+
+/// Why a replica could not be served.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
-    /// A door can't be opened.
-    #[error("can't listen at {at}: {source}")]
+    /// A listen address could not be bound.
+    #[error("can't listen at {address}: {source}")]
     Listen {
-        /// Where.
-        at: SocketAddr,
-        /// Why not.
+        /// The address.
+        address: SocketAddr,
+        /// The error.
         source: io::Error,
     },
-    /// The replica can't start.
+    /// The replica could not be started.
     #[error(transparent)]
     Start(#[from] StartError),
 }
 
-/// Where a replica's two doors are.
+/// The listen addresses of a replica.
 #[derive(Clone, Copy, Debug)]
 pub struct ListenAddresses {
-    /// For clients.
+    /// The address for clients and operators.
     pub clients: SocketAddr,
-    /// For the other replicas.
+    /// The address for other replicas.
     pub peers: SocketAddr,
 }
 
-/// A replica that serves.
+/// A running replica and its addresses.
 pub struct RunningReplica {
-    /// It.
+    /// The replica.
     pub replica: Arc<Replica>,
-    /// Where it listens.
+    /// The addresses that it listens on.
     pub addresses: ListenAddresses,
 }
 
-fn open(at: SocketAddr) -> Result<TcpListener, ServeError> {
+fn bind(address: SocketAddr) -> Result<TcpListener, ServeError> {
     let listen = || {
-        let socket = if at.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
-        // A restart must not wait for the last life's connections to leave the system's tables.
+        let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
+        // Allows a restart while connections of the previous process are in TIME_WAIT.
         socket.set_reuseaddr(true)?;
-        socket.bind(at)?;
-        socket.listen(BACKLOG)
+        socket.bind(address)?;
+        socket.listen(LISTEN_BACKLOG)
     };
-    listen().map_err(|source| ServeError::Listen { at, source })
+    listen().map_err(|source| ServeError::Listen { address, source })
 }
 
-/// Opens the doors and starts a replica behind them; its tasks end with the runtime. A port of 0 takes a free one.
+/// Binds the listen addresses, starts a replica and serves it until the runtime shuts down. Port 0 selects a free port.
 pub async fn serve(mut settings: Settings) -> Result<RunningReplica, ServeError> {
-    let (for_clients, for_peers) = (open(settings.listen)?, open(settings.peer_listen)?);
-    let at = |listener: &TcpListener, wanted| listener.local_addr().unwrap_or(wanted);
+    let (client_listener, peer_listener) = (bind(settings.listen)?, bind(settings.peer_listen)?);
+    let bound_address = |listener: &TcpListener, configured| listener.local_addr().unwrap_or(configured);
     let addresses = ListenAddresses {
-        clients: at(&for_clients, settings.listen),
-        peers: at(&for_peers, settings.peer_listen),
+        clients: bound_address(&client_listener, settings.listen),
+        peers: bound_address(&peer_listener, settings.peer_listen),
     };
     (settings.listen, settings.peer_listen) = (addresses.clients, addresses.peers);
-    let most = settings.most_connections;
+    let limit = settings.most_connections;
     let replica = Replica::start(settings).await?;
-    let at_peers = Doorway { router: TowerToHyperService::new(peers(replica.clone())), watched: None };
-    tokio::spawn(take(for_peers, at_peers, MOST_PEERS, Arc::default(), replica.clone()));
-    let connections = replica.connections.clone();
+    let peer_service =
+        ConnectionService { router: TowerToHyperService::new(peers(replica.clone())), replica: None };
+    tokio::spawn(accept_connections(
+        peer_listener,
+        peer_service,
+        MAX_PEER_CONNECTIONS,
+        Arc::default(),
+        replica.clone(),
+    ));
+    let open_connections = replica.connections.clone();
     let router = TowerToHyperService::new(clients(replica.clone()));
-    let at_clients = Doorway { router, watched: Some(replica.clone()) };
-    tokio::spawn(take(for_clients, at_clients, most, connections, replica.clone()));
+    let client_service = ConnectionService { router, replica: Some(replica.clone()) };
+    tokio::spawn(accept_connections(
+        client_listener,
+        client_service,
+        limit,
+        open_connections,
+        replica.clone(),
+    ));
     Ok(RunningReplica { replica, addresses })
 }
 
-/// Takes connections, as many at a time as there may be; one too many is closed at once. Never ends.
-async fn take(
+/// Accepts connections in an endless loop. Connections over the limit are closed at once.
+async fn accept_connections(
     listener: TcpListener,
-    doorway: Doorway,
-    most: usize,
-    open: Arc<AtomicUsize>,
+    service: ConnectionService,
+    limit: usize,
+    open_connections: Arc<AtomicUsize>,
     replica: Arc<Replica>,
 ) {
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                // No descriptor is left, or the peer went at once.
-                tracing::warn!(cause = %error, "no connection taken");
-                tokio::time::sleep(NO_DESCRIPTOR).await;
+                // No file descriptor is left, or the peer has closed the connection.
+                tracing::warn!(cause = %error, "accept failed");
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        if open.load(Ordering::Relaxed) >= most {
+        if open_connections.load(Ordering::Relaxed) >= limit {
             replica.metrics.calls_refused.inc();
             continue;
         }
-        let counted = Open::one(&open);
-        tokio::spawn(converse(stream, doorway.clone(), replica.clone(), counted));
+        let guard = ConnectionGuard::acquire(&open_connections);
+        tokio::spawn(serve_connection(stream, service.clone(), replica.clone(), guard));
     }
 }
 
-/// Counts an open connection.
-struct Open(Arc<AtomicUsize>);
+/// Counts an open connection for as long as it exists.
+struct ConnectionGuard(Arc<AtomicUsize>);
 
-impl Open {
-    fn one(open: &Arc<AtomicUsize>) -> Self {
-        open.fetch_add(1, Ordering::Relaxed);
-        Self(open.clone())
+impl ConnectionGuard {
+    fn acquire(open_connections: &Arc<AtomicUsize>) -> Self {
+        open_connections.fetch_add(1, Ordering::Relaxed);
+        Self(open_connections.clone())
     }
 }
 
-impl Drop for Open {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// What stands behind a connection: a client's watches, which wait by the thousand, go straight to their handler; all else by
-/// the router, whose way holds more memory while a call waits.
+/// The HTTP service of a connection. List requests of clients, thousands of which may be waiting, bypass the router to
+/// save memory. All other requests go through it.
 #[derive(Clone)]
-struct Doorway {
+struct ConnectionService {
     router: TowerToHyperService<Router>,
-    /// Whose list is watched at this door, if any is.
-    watched: Option<Arc<Replica>>,
+    /// The replica whose list is served, on the client address only.
+    replica: Option<Arc<Replica>>,
 }
 
-impl Service<Request<Incoming>> for Doorway {
+impl Service<Request<Incoming>> for ConnectionService {
     type Response = Response<Body>;
     type Error = Infallible;
     type Future = Pin<Box<dyn Future<Output = Result<Self::Response, Infallible>> + Send>>;
 
     fn call(&self, request: Request<Incoming>) -> Self::Future {
-        match &self.watched {
+        match &self.replica {
             Some(replica) if request.method() == Method::GET && request.uri().path() == INSTANCES_PATH => {
                 let query = request.uri().query().map(str::to_owned);
                 let watch = watch(replica.clone(), query);
@@ -172,23 +185,28 @@
     }
 }
 
-async fn converse(stream: TcpStream, doorway: Doorway, replica: Arc<Replica>, _counted: Open) {
-    // Some systems refuse the option on a connection that has just gone.
+async fn serve_connection(
+    stream: TcpStream,
+    service: ConnectionService,
+    replica: Arc<Replica>,
+    _guard: ConnectionGuard,
+) {
+    // Some systems refuse the option on a closed connection.
     let _ = stream.set_nodelay(true);
     let mut stream = TimeoutWriter::new(stream);
-    stream.set_timeout(Some(READS));
-    // Ten thousand of these wait at a time: nothing is held twice, and each lies in one piece of its own size.
-    let done = http1::Builder::new()
+    stream.set_timeout(Some(WRITE_TIMEOUT));
+    // Thousands of these connections may be open at a time. Boxing the stream keeps the future of each one small.
+    let result = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(IDLE)
-        .max_buf_size(BUFFER)
-        .serve_connection(TokioIo::new(Box::pin(stream)), doorway)
+        .header_read_timeout(IDLE_TIMEOUT)
+        .max_buf_size(MAX_BUFFER_BYTES)
+        .serve_connection(TokioIo::new(Box::pin(stream)), service)
         .await;
-    if let Err(error) = done {
+    if let Err(error) = result {
         let cause = std::error::Error::source(&error).and_then(|cause| cause.downcast_ref::<io::Error>());
         if cause.is_some_and(|cause| cause.kind() == io::ErrorKind::TimedOut) {
             replica.metrics.peers_too_slow.inc();
         }
-        tracing::debug!(cause = %error, "the connection broke");
+        tracing::debug!(cause = %error, "connection closed with an error");
     }
 }
