--- a/node/src/server/handler.rs
+++ b/node/src/server/handler.rs
@@ -110,8 +110,8 @@
 fn list_status(node: &Node) -> String {
     let Some(list) = node.list_state() else { return String::new() };
     let elapsed_ms = |at: Option<Instant>| at.map(|at| at.elapsed().as_millis() as u64);
-    serde_json::json!({"rev": list.rev, "age_ms": elapsed_ms(list.as_of), "away_ms": elapsed_ms(list.unreachable_since),
-        "replica": list.replica.to_string()})
+    serde_json::json!({"rev": list.rev, "age_ms": elapsed_ms(list.as_of),
+        "away_ms": elapsed_ms(list.unreachable_since), "replica": list.replica.to_string()})
     .to_string()
 }
 
--- a/node/src/server/tests.rs
+++ b/node/src/server/tests.rs
@@ -303,7 +303,7 @@
 
 /// The client disconnects after its request was read and before the attempt is written, within one poll of the runtime.
 #[tokio::test]
-async fn an_attempt_is_not_written_if_its_client_disconnects_at_launch() {
+async fn an_attempt_is_not_sent_if_its_client_disconnects_as_it_starts() {
     use std::io::{Read, Write};
     let backend = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let endpoint = backend.local_addr().expect("its address");
