--- a/cli/src/registry.rs
+++ b/cli/src/registry.rs
@@ -180,7 +180,7 @@
             }
             Err(Failed::Asked(error)) => {
                 complain(&error.to_string());
-                if matches!(error, ClientError::Refused { .. }) { Exit::Broken } else { Exit::Machine }
+                if matches!(error, ClientError::Rejected { .. }) { Exit::Broken } else { Exit::Machine }
             }
         }
     }
@@ -259,7 +259,7 @@
     let list: Listing = client.get(INSTANCES_PATH).await?;
     let one = list.targets.into_iter().find(|one| one.uid == uid);
     let one =
-        one.ok_or_else(|| ClientError::Refused { status: 404, text: format!("{uid} is not on the list") })?;
+        one.ok_or_else(|| ClientError::Rejected { status: 404, text: format!("{uid} is not on the list") })?;
     let done: Value = client.post(path, &InstanceKey { uid: one.uid, boot_ms: one.boot_ms }).await?;
     Ok(format!("{uid} {what}: version {}", done["rev"]))
 }
--- a/cli/tests/registry/main.rs
+++ b/cli/tests/registry/main.rs
@@ -234,7 +234,7 @@
     let mut client = site.client(0);
     let (status, text) = loop {
         match client.post::<Value>("/registry/register", &instance(&format!("w-{number}"), 1)).await {
-            Err(ClientError::Refused { status, text }) => break (status, text),
+            Err(ClientError::Rejected { status, text }) => break (status, text),
             _ => number += 1,
         }
         assert!(number < 100_000, "the store grows without end");
@@ -270,7 +270,7 @@
         ];
         match client.post::<Value>("/registry/restore", &json!({"part": 0, "parts": 2, "lines": lines})).await
         {
-            Err(ClientError::Refused { status, text }) => break (status, text),
+            Err(ClientError::Rejected { status, text }) => break (status, text),
             _ => number += 1,
         }
         assert!(number < 1000, "the store grows without end");
--- a/cli/tests/registry/site.rs
+++ b/cli/tests/registry/site.rs
@@ -436,7 +436,7 @@
 /// Why a call was refused, with its status.
 pub fn refusal<T>(done: Result<T, ClientError>) -> (u16, String) {
     match done {
-        Err(ClientError::Refused { status, text }) => (status, text),
+        Err(ClientError::Rejected { status, text }) => (status, text),
         Err(error) => panic!("not refused: {error}"),
         Ok(_) => panic!("not refused, but done"),
     }
--- a/registry/src/client.rs
+++ b/registry/src/client.rs
@@ -20,7 +20,7 @@
 pub enum ClientError {
     /// The registry rejected the call: another replica would do the same.
     #[error("{text}")]
-    Refused {
+    Rejected {
         /// The HTTP status.
         status: u16,
         /// The error message.
@@ -86,7 +86,7 @@
             match response.status.as_u16() {
                 // Another replica may be able to process it.
                 503 | 504 => errors.push(format!("{address}: {text}")),
-                status => return Err(ClientError::Refused { status, text }),
+                status => return Err(ClientError::Rejected { status, text }),
             }
         }
         Err(ClientError::Unavailable(errors.join("; ")))
