--- a/registry/src/http.rs
+++ b/registry/src/http.rs
@@ -235,15 +235,15 @@
     instances(State(replica), RawQuery(query)).await.into_response()
 }
 
-/// Returns the list or its changes, waiting for a change if requested. The list is never older than the revision that the
-/// client has seen.
+/// Returns the list or its changes, waiting for a change if requested. The response is never older than the revision that
+/// the client has seen.
 async fn instances(State(replica): ReplicaState, RawQuery(query): RawQuery) -> Result<Response, ApiError> {
     let watch = WatchQuery::read(query.as_deref().unwrap_or_default())?;
     let started_at = Instant::now();
     let mut revisions = replica.watch();
     let min_rev = watch.from.max(watch.seen).unwrap_or(0);
     if min_rev > replica.rev() {
-        let _waiting = WatchGuard::acquire(&replica)?;
+        let _guard = WatchGuard::acquire(&replica)?;
         let caught_up = revisions.wait_for(|rev| *rev >= min_rev);
         if timeout_at(started_at + watch.hold.max(MIN_CATCH_UP_WAIT), caught_up).await.is_err() {
             let message = format!(
@@ -254,7 +254,7 @@
         }
     }
     if watch.from.is_some_and(|from| from == replica.rev()) && !watch.hold.is_zero() {
-        let _waiting = WatchGuard::acquire(&replica)?;
+        let _guard = WatchGuard::acquire(&replica)?;
         // A timeout is answered with an empty update.
         let _ = timeout_at(started_at + watch.hold, revisions.wait_for(|rev| Some(*rev) != watch.from)).await;
     }
--- a/registry/src/peers.rs
+++ b/registry/src/peers.rs
@@ -59,24 +59,23 @@
     fleet: String,
     via: Arc<BTreeMap<SocketAddr, SocketAddr>>,
     idle: Arc<Mutex<HashMap<SocketAddr, Vec<HttpClient>>>>,
-    suppressed: Arc<AtomicBool>,
+    suspended: Arc<AtomicBool>,
 }
 
 impl PeerPool {
     /// Creates a pool. `via` maps peer addresses to the addresses to connect to, as with a proxy.
     pub fn new(fleet: &str, via: BTreeMap<SocketAddr, SocketAddr>) -> Self {
-        Self { fleet: fleet.to_owned(), via: Arc::new(via), idle: Arc::default(), suppressed: Arc::default() }
+        Self { fleet: fleet.to_owned(), via: Arc::new(via), idle: Arc::default(), suspended: Arc::default() }
     }
 
-    /// Stops or resumes sending the messages of a leader. While they are stopped, the other replicas can elect another
-    /// leader.
-    pub fn suppress_leader_messages(&self, suppressed: bool) {
-        self.suppressed.store(suppressed, Ordering::Relaxed);
+    /// Suspends or resumes the messages of a leader. While they are suspended, the other replicas can elect another leader.
+    pub fn set_suspended(&self, suspended: bool) {
+        self.suspended.store(suspended, Ordering::Relaxed);
     }
 
-    /// Returns whether leader messages are suppressed.
-    pub fn is_suppressed(&self) -> bool {
-        self.suppressed.load(Ordering::Relaxed)
+    /// Returns whether leader messages are suspended.
+    pub fn is_suspended(&self) -> bool {
+        self.suspended.load(Ordering::Relaxed)
     }
 
     /// Sends a call to a replica. If `to` is given, only the replica with this ID processes it.
@@ -135,8 +134,8 @@
         RpcErr: From<Unreachable> + From<NetworkError> + From<RemoteError<ReplicaId, Place, RemoteErr>>,
     {
         let unreachable = |text: String| RpcErr::from(Unreachable::new(&std::io::Error::other(text)));
-        if path != VOTE_PATH && self.peers.is_suppressed() {
-            return Err(unreachable("leader messages are suppressed".to_owned()));
+        if path != VOTE_PATH && self.peers.is_suspended() {
+            return Err(unreachable("leader messages are suspended".to_owned()));
         }
         let body = serde_json::to_vec(message).map_err(|error| NetworkError::new(&error))?;
         let call = Call::post(path, body, timeout, MAX_MESSAGE_BYTES);
--- a/registry/src/replica/consensus.rs
+++ b/registry/src/replica/consensus.rs
@@ -173,7 +173,7 @@
             match confirmation {
                 Ok(LeadershipConfirmation { index, .. }) => {
                     let applied = self.raft.wait(Some(CONFIRM_TIMEOUT));
-                    if applied.applied_index_at_least(index, "fresh").await.is_ok() {
+                    if applied.applied_index_at_least(index, "list age refresh").await.is_ok() {
                         self.advance_list_as_of(started_at);
                     }
                 }
--- a/registry/src/replica/leadership.rs
+++ b/registry/src/replica/leadership.rs
@@ -29,14 +29,14 @@
                 if lock(&self.leadership).take().is_some() {
                     tracing::info!("leadership lost");
                 }
-                self.set_suppressed(false);
+                self.update_suspension(false);
                 last_quorum_contact = Instant::now();
                 let _ = timeout(check_interval, changes.changed()).await;
                 continue;
             };
             last_quorum_contact = lock(&self.list_as_of)
                 .map_or(last_quorum_contact, |list_as_of| list_as_of.max(last_quorum_contact));
-            self.set_suppressed(self.should_suppress(last_quorum_contact.elapsed()));
+            self.update_suspension(self.should_suspend(last_quorum_contact.elapsed()));
             if lock(&self.leadership).as_ref().is_none_or(|leadership| leadership.term != term) {
                 self.begin_term(term).await;
             } else {
@@ -46,24 +46,24 @@
         }
     }
 
-    /// Returns whether a leader without quorum contact for this long should stop sending messages. If only the responses
+    /// Returns whether a leader without quorum contact for this long should suspend its messages. If only the responses
     /// are lost, its heartbeats would keep the other replicas from electing another leader. It resumes periodically, to
     /// detect when the connection has recovered.
-    pub(super) fn should_suppress(&self, since_quorum: Duration) -> bool {
+    pub(super) fn should_suspend(&self, since_quorum: Duration) -> bool {
         let election = Duration::from_millis(self.settings.election_ms);
         let (grace, cycle) = (election * 4, election * 16);
         since_quorum > grace && since_quorum.as_millis() % cycle.as_millis() >= grace.as_millis()
     }
 
-    /// Stops or resumes sending leader messages, except during a transfer of leadership.
-    pub(super) fn set_suppressed(&self, suppressed: bool) {
-        if self.transferring.load(Ordering::Relaxed) || self.peers.is_suppressed() == suppressed {
+    /// Suspends or resumes leader messages, except during a transfer of leadership, which controls them itself.
+    pub(super) fn update_suspension(&self, suspended: bool) {
+        if self.transferring.load(Ordering::Relaxed) || self.peers.is_suspended() == suspended {
             return;
         }
-        if suppressed {
+        if suspended {
             tracing::warn!("no quorum responds: heartbeats suspended so that another leader can be elected");
         }
-        self.peers.suppress_leader_messages(suppressed);
+        self.peers.set_suspended(suspended);
     }
 
     /// Adds a random delay before each further candidacy. openraft draws the election timeout only once per process, so
@@ -117,9 +117,9 @@
         for command in commands {
             self.metrics.lapses.inc();
             match &command {
-                Command::Suspect(lives) => {
+                Command::Suspect(keys) => {
                     tracing::warn!(
-                        count = lives.len(),
+                        count = keys.len(),
                         "too many leases expired at once: instances marked as suspects"
                     );
                 }
@@ -134,7 +134,7 @@
 
     /// Renews leases. Only the leader can do this.
     pub(super) async fn renew(&self, renewal: Renewal) -> Result<Value, ApiError> {
-        // A former leader that does not know of its successor yet must not renew leases.
+        // A former leader that has not learned of its successor yet must not renew leases.
         let confirmation = self.confirm_leadership().await?;
         let mut unknown = Vec::new();
         let mut cleared_suspects = Vec::new();
@@ -147,7 +147,7 @@
             leadership.leases.sync(&self.shared.read().list, now);
             for InstanceKey { uid, boot_ms } in &renewal.lives {
                 match leadership.leases.renew(uid, *boot_ms, now) {
-                    Ok(Some(Command::Clear(lives))) => cleared_suspects.extend(lives),
+                    Ok(Some(Command::Clear(keys))) => cleared_suspects.extend(keys),
                     Ok(_) => {}
                     Err(_) => unknown.push(uid.clone()),
                 }
@@ -177,7 +177,7 @@
         }
         let mut concerned = 0;
         for command in commands {
-            concerned += if let Command::Clear(lives) = &command { lives.len() } else { 1 };
+            concerned += if let Command::Clear(keys) = &command { keys.len() } else { 1 };
             self.write(command).await?;
         }
         Ok(json!({"rev": self.rev(), "concerned": concerned}))
--- a/registry/src/replica/membership.rs
+++ b/registry/src/replica/membership.rs
@@ -117,7 +117,7 @@
             return Err(ApiError::unavailable("leadership is being transferred"));
         }
         tracing::info!(replica = target, %peer, "transferring leadership");
-        self.peers.suppress_leader_messages(true);
+        self.peers.set_suspended(true);
         sleep(Duration::from_millis(2 * self.settings.election_ms + self.settings.heartbeat_ms / 2)).await;
         let elected: Result<Value, ApiError> =
             self.call_peer(peer, Some(target), ELECT_PATH, &json!({}), CONFIRM_TIMEOUT).await;
@@ -125,7 +125,7 @@
         let transferred = transferred
             .metrics(|metrics| metrics.current_leader == Some(target), "leadership transfer")
             .await;
-        self.peers.suppress_leader_messages(false);
+        self.peers.set_suspended(false);
         self.transferring.store(false, Ordering::Relaxed);
         elected?;
         transferred.map_err(|_| ApiError::unavailable(format!("replica {peer} was not elected")))?;
--- a/registry/src/state_machine.rs
+++ b/registry/src/state_machine.rs
@@ -37,7 +37,7 @@
 
     /// Returns a read guard of the current state, which must not be held across an await point.
     pub fn read(&self) -> RwLockReadGuard<'_, RegistryState> {
-        // The state is consistent even if a thread has panicked with the lock held.
+        // A poisoned lock is usable: no panic can leave the state partly modified.
         self.state.read().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/registry/src/store.rs
+++ b/registry/src/store.rs
@@ -17,7 +17,7 @@
 
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
-// Keys of [`META`].
+// Keys of the `META` table.
 const ID: &str = "id";
 const FLEET: &str = "fleet";
 const VOTE: &str = "vote";
--- a/registry/src/wire.rs
+++ b/registry/src/wire.rs
@@ -29,7 +29,7 @@
     pub capacity_hint: f64,
     /// The start time of the process, in Unix milliseconds of its own clock.
     pub boot_ms: u64,
-    /// Whether the lease has expired together with too many others to be trusted as a failure.
+    /// Whether the lease has expired together with too many others, so that the instance may still be alive.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub suspect: bool,
 }
@@ -94,7 +94,7 @@
     }
 }
 
-/// Identifies one process of an instance.
+/// Identifies one process of an instance by its name and start time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct InstanceKey {
--- a/registry/tests/list.rs
+++ b/registry/tests/list.rs
@@ -146,7 +146,7 @@
     #[test]
     fn applying_all_changes_reproduces_the_list(commands in commands(), reads in proptest::collection::vec(any::<bool>(), 60)) {
         let mut list = List::default();
-        let (mut seen, mut own): (Rev, BTreeMap<String, Line>) = (0, BTreeMap::new());
+        let (mut seen, mut copy): (Rev, BTreeMap<String, Line>) = (0, BTreeMap::new());
         for (command, reads) in commands.iter().zip(reads) {
             let before = list.rev();
             let applied = list.apply(command);
@@ -160,14 +160,14 @@
                 seen = update.rev;
                 for line in update.lines {
                     if line.state == State::Gone {
-                        own.remove(&line.instance.uid);
+                        copy.remove(&line.instance.uid);
                     } else {
-                        own.insert(line.instance.uid.clone(), line);
+                        copy.insert(line.instance.uid.clone(), line);
                     }
                 }
             }
             prop_assert_eq!(seen, list.rev());
-            prop_assert!(own.values().eq(list.lines()));
+            prop_assert!(copy.values().eq(list.lines()));
         }
     }
 
