--- a/node/tests/lifecycle.rs
+++ b/node/tests/lifecycle.rs
@@ -124,7 +124,7 @@
         backend.requests.try_iter().any(|m| m.header("x-call-id") == Some("slow"))
     });
     node.signal("-TERM");
-    wait_until("the node has begun to shut down", || node.log_contains("stops"));
+    wait_until("the node has begun to shut down", || node.log_contains("shutting down"));
     for client in [kept, Client::connect(node.address)] {
         let mut client = client;
         let response = client.request(&get("after", "")).expect("a response after the signal");
