--- a/model/src/balancers.rs
+++ b/model/src/balancers.rs
@@ -22,7 +22,7 @@
 #[derive(Default)]
 pub struct LocalBalancers {
     nodes: Vec<Option<Balancer>>,
-    out: Vec<Action>,
+    action_buffer: Vec<Action>,
 }
 
 impl BalancerSet for LocalBalancers {
@@ -42,8 +42,8 @@
 
     fn handle(&mut self, node: usize, now: Nanos, event: Event, actions: &mut Vec<(usize, Action)>) {
         if let Some(balancer) = self.nodes.get_mut(node).and_then(Option::as_mut) {
-            balancer.handle(now, event, &mut self.out);
-            actions.extend(self.out.drain(..).map(|action| (node, action)));
+            balancer.handle(now, event, &mut self.action_buffer);
+            actions.extend(self.action_buffer.drain(..).map(|action| (node, action)));
         }
     }
 
--- a/model/src/clients.rs
+++ b/model/src/clients.rs
@@ -9,9 +9,9 @@
 use crate::world::{SECOND, World, rng_stream};
 
 /// Times that a client's wait doubles at most.
-const MOST_DOUBLINGS: u32 = 6;
+const MAX_DOUBLINGS: u32 = 6;
 /// One wave of the load, in radians.
-const TURN: f64 = std::f64::consts::TAU;
+const WAVE_RADIANS: f64 = std::f64::consts::TAU;
 
 /// A client's request, before its first try.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -51,20 +51,20 @@
 pub struct RequestGenerator {
     rng: ChaCha12Rng,
     zone: Option<u32>,
-    work: Vec<Option<LogNormal<f64>>>,
-    classes: Vec<f64>,
-    tenants: Vec<f64>,
-    floods: Vec<f64>,
-    burst: f64,
-    next: u64,
-    at: Nanos,
+    work_spread: Vec<Option<LogNormal<f64>>>,
+    class_shares: Vec<f64>,
+    tenant_shares: Vec<f64>,
+    tenant_factors: Vec<f64>,
+    load_factor: f64,
+    next_number: u64,
+    last_due_at: Nanos,
 }
 
 fn pick_weighted(shares: &[f64], draw: f64) -> usize {
-    let mut left = draw * shares.iter().sum::<f64>();
+    let mut remaining = draw * shares.iter().sum::<f64>();
     for (at, share) in shares.iter().enumerate() {
-        left -= share;
-        if left < 0.0 {
+        remaining -= share;
+        if remaining < 0.0 {
             return at;
         }
     }
@@ -91,52 +91,62 @@
         Self {
             rng: rng_stream(world.seed, number),
             zone,
-            work: world.classes.iter().map(|class| spread(class.cv)).collect(),
-            classes: world.classes.iter().map(|class| class.share).collect(),
-            tenants: world.tenants.iter().map(|tenant| tenant.load_share).collect(),
-            floods: vec![1.0; world.tenants.len()],
-            burst: 1.0,
-            next: 0,
-            at: start,
+            work_spread: world.classes.iter().map(|class| spread(class.cv)).collect(),
+            class_shares: world.classes.iter().map(|class| class.share).collect(),
+            tenant_shares: world.tenants.iter().map(|tenant| tenant.load_share).collect(),
+            tenant_factors: vec![1.0; world.tenants.len()],
+            load_factor: 1.0,
+            next_number: 0,
+            last_due_at: start,
         }
     }
 
     /// From now on this many times as much is asked for.
     pub fn set_load_factor(&mut self, factor: f64) {
-        self.burst = factor;
+        self.load_factor = factor;
     }
 
     /// From now on a tenant asks for this many times as much.
     pub fn set_tenant_factor(&mut self, tenant: usize, factor: f64) {
-        self.floods.get_mut(tenant).into_iter().for_each(|flood| *flood = factor);
+        self.tenant_factors.get_mut(tenant).into_iter().for_each(|tenant_factor| *tenant_factor = factor);
     }
 
     /// Requests a second at a time.
     pub fn rate(&self, world: &World, at: Nanos) -> f64 {
-        let phase = at as f64 / world.load.wave_period.max(1) as f64 * TURN;
-        let tenants: f64 = self.tenants.iter().zip(&self.floods).map(|(part, flood)| part * flood).sum();
-        let flooded = if self.tenants.is_empty() { 1.0 } else { tenants };
-        let part = self.zone.map_or(1.0, |zone| world.load.zone_shares[zone as usize]);
-        part * world.load.rps * self.burst * flooded * (1.0 + world.load.wave_amplitude * phase.sin())
+        let phase = at as f64 / world.load.wave_period.max(1) as f64 * WAVE_RADIANS;
+        let tenants: f64 =
+            self.tenant_shares.iter().zip(&self.tenant_factors).map(|(share, factor)| share * factor).sum();
+        let tenant_factor = if self.tenant_shares.is_empty() { 1.0 } else { tenants };
+        let zone_share = self.zone.map_or(1.0, |zone| world.load.zone_shares[zone as usize]);
+        zone_share
+            * world.load.rps
+            * self.load_factor
+            * tenant_factor
+            * (1.0 + world.load.wave_amplitude * phase.sin())
     }
 
     /// The next request. Arrivals are a Poisson process whose rate is that of the last one's time.
     pub fn next(&mut self, world: &World) -> ClientRequest {
-        let rate = self.rate(world, self.at).max(1e-3);
+        let rate = self.rate(world, self.last_due_at).max(1e-3);
         let gap: f64 = Exp1.sample(&mut self.rng);
-        self.at += (gap / rate * SECOND as f64) as Nanos + 1;
-        let class = pick_weighted(&self.classes, self.rng.random());
-        let tenant = (!self.tenants.is_empty()).then(|| {
-            let parts: Vec<f64> = self.tenants.iter().zip(&self.floods).map(|(part, f)| part * f).collect();
-            pick_weighted(&parts, self.rng.random())
+        self.last_due_at += (gap / rate * SECOND as f64) as Nanos + 1;
+        let class = pick_weighted(&self.class_shares, self.rng.random());
+        let tenant = (!self.tenant_shares.is_empty()).then(|| {
+            let shares: Vec<f64> = self
+                .tenant_shares
+                .iter()
+                .zip(&self.tenant_factors)
+                .map(|(share, factor)| share * factor)
+                .collect();
+            pick_weighted(&shares, self.rng.random())
         });
         let info = &world.classes[class];
-        let spread = self.work[class].map_or(1.0, |spread| spread.sample(&mut self.rng));
-        let number = self.next;
-        self.next += 1;
+        let spread = self.work_spread[class].map_or(1.0, |spread| spread.sample(&mut self.rng));
+        let number = self.next_number;
+        self.next_number += 1;
         ClientRequest {
             number,
-            due_at: self.at,
+            due_at: self.last_due_at,
             zone: self
                 .zone
                 .unwrap_or_else(|| pick_weighted(&world.load.zone_shares, self.rng.random()) as u32),
@@ -153,41 +163,41 @@
 /// try end, and `deadline` when its time over all tries is up.
 pub fn next_retry(
     world: &World,
-    ask: &ClientRequest,
+    request: &ClientRequest,
     tries: u32,
-    seen: TryOutcome,
+    outcome: TryOutcome,
     now: Nanos,
     rng: &mut impl Rng,
 ) -> Option<Nanos> {
     let load = &world.load;
-    let class = &world.classes[ask.class];
+    let class = &world.classes[request.class];
     // What may have run is not asked for again, unless that is safe.
-    let safe = match seen {
+    let is_safe = match outcome {
         TryOutcome::Served => return None,
         TryOutcome::Rejected(_) | TryOutcome::Unreachable => true,
         TryOutcome::Failed => class.idempotency == Idempotency::Idempotent,
     };
-    if !safe || tries >= load.max_retries || load.retry_policy == RetryPolicy::Never {
+    if !is_safe || tries >= load.max_retries || load.retry_policy == RetryPolicy::Never {
         return None;
     }
     let wait = match load.retry_policy {
         RetryPolicy::Never | RetryPolicy::Immediate => 0,
         RetryPolicy::Backoff => {
-            let doubled = load.backoff << tries.min(MOST_DOUBLINGS);
+            let doubled = load.backoff << tries.min(MAX_DOUBLINGS);
             (doubled as f64 * (0.5 + rng.random::<f64>())) as Nanos
         }
     };
-    let advised = match seen {
-        TryOutcome::Rejected(pause) if ask.honors_retry_after => pause,
+    let retry_after = match outcome {
+        TryOutcome::Rejected(retry_after) if request.honors_retry_after => retry_after,
         _ => 0,
     };
-    let at = now.saturating_add(wait.max(advised));
-    (at < ask.due_at.saturating_add(class.deadline)).then_some(at)
+    let at = now.saturating_add(wait.max(retry_after));
+    (at < request.due_at.saturating_add(class.deadline)).then_some(at)
 }
 
 /// How long a client waits for a try that begins now.
-pub fn try_timeout(world: &World, ask: &ClientRequest, now: Nanos) -> Nanos {
-    let class = &world.classes[ask.class];
-    let left = ask.due_at.saturating_add(class.deadline).saturating_sub(now);
-    left.min((class.deadline as f64 * world.load.try_timeout_share) as Nanos)
+pub fn try_timeout(world: &World, request: &ClientRequest, now: Nanos) -> Nanos {
+    let class = &world.classes[request.class];
+    let remaining = request.due_at.saturating_add(class.deadline).saturating_sub(now);
+    remaining.min((class.deadline as f64 * world.load.try_timeout_share) as Nanos)
 }
--- a/model/src/dedup.rs
+++ b/model/src/dedup.rs
@@ -6,7 +6,7 @@
 use brookfield::Nanos;
 
 /// Old keys are looked for once there are as many, and then each time their number has doubled.
-const SWEPT_FROM: usize = 1024;
+const MIN_SWEEP_SIZE: usize = 1024;
 
 /// A key, in its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -21,42 +21,42 @@
 pub type JobRef = (u32, u64);
 
 #[derive(Clone, Copy, Debug)]
-struct Seen {
-    until: Nanos,
-    by: JobRef,
+struct Entry {
+    expires_at: Nanos,
+    job: JobRef,
 }
 
 /// What the groups remember. Bounded by the keyed requests of twice the longest window.
 #[derive(Debug, Default)]
 pub struct DedupTable {
-    seen: HashMap<DedupKey, Seen>,
+    entries: HashMap<DedupKey, Entry>,
     /// Jobs that have not ended yet, with their keys.
-    open: HashMap<JobRef, DedupKey>,
+    running: HashMap<JobRef, DedupKey>,
     sweep_at: usize,
 }
 
 impl DedupTable {
     /// Whether a request with this key was taken in before and its window is not over.
     pub fn is_duplicate(&self, key: DedupKey, now: Nanos) -> bool {
-        self.seen.get(&key).is_some_and(|seen| now < seen.until)
+        self.entries.get(&key).is_some_and(|entry| now < entry.expires_at)
     }
 
     /// A server has taken the request in: for so long its repeats are dropped.
-    pub fn insert(&mut self, key: DedupKey, by: JobRef, window: Nanos, now: Nanos) {
-        if self.seen.len() >= self.sweep_at.max(SWEPT_FROM) {
-            self.seen.retain(|_, seen| now < seen.until);
-            self.sweep_at = 2 * self.seen.len();
+    pub fn insert(&mut self, key: DedupKey, job: JobRef, window: Nanos, now: Nanos) {
+        if self.entries.len() >= self.sweep_at.max(MIN_SWEEP_SIZE) {
+            self.entries.retain(|_, seen| now < seen.expires_at);
+            self.sweep_at = 2 * self.entries.len();
         }
-        self.seen.insert(key, Seen { until: now.saturating_add(window), by });
-        self.open.insert(by, key);
+        self.entries.insert(key, Entry { expires_at: now.saturating_add(window), job });
+        self.running.insert(job, key);
     }
 
     /// Its work has ended. One that did not come to its end (it failed, was dropped before it began, or its process
     /// died) is forgotten, so that a repeat runs.
-    pub fn job_ended(&mut self, by: JobRef, done: bool) {
-        let Some(key) = self.open.remove(&by) else { return };
-        if !done && self.seen.get(&key).is_some_and(|seen| seen.by == by) {
-            self.seen.remove(&key);
+    pub fn job_ended(&mut self, job: JobRef, completed: bool) {
+        let Some(key) = self.running.remove(&job) else { return };
+        if !completed && self.entries.get(&key).is_some_and(|seen| seen.job == job) {
+            self.entries.remove(&key);
         }
     }
 }
--- a/model/src/dedup/tests.rs
+++ b/model/src/dedup/tests.rs
@@ -26,5 +26,5 @@
         keys.insert(DedupKey { cell: 0, key: at }, (0, at), 100, at);
         keys.job_ended((0, at), true);
     }
-    assert!(keys.seen.len() <= SWEPT_FROM && keys.open.is_empty(), "{}", keys.seen.len());
+    assert!(keys.entries.len() <= MIN_SWEEP_SIZE && keys.running.is_empty(), "{}", keys.entries.len());
 }
--- a/model/src/invariants.rs
+++ b/model/src/invariants.rs
@@ -11,7 +11,7 @@
 use crate::scenario::Idempotency;
 
 /// Broken ones that are kept with their details, for each rule; the count goes on.
-const MOST_BREACHES: usize = 50;
+const MAX_VIOLATIONS: usize = 50;
 
 /// The rules that are checked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -134,8 +134,8 @@
 struct Attempt {
     server: u32,
     cell: u64,
-    began: Nanos,
-    ended: Option<Nanos>,
+    started_at: Nanos,
+    ended_at: Option<Nanos>,
     may_have_run: bool,
 }
 
@@ -146,15 +146,15 @@
     excused: bool,
     answered: Option<(FinalAnswer, Nanos)>,
     attempts: Vec<Attempt>,
-    last: Nanos,
+    last_activity: Nanos,
 }
 
 /// The book.
 pub struct InvariantChecker {
     limits: Tolerances,
     start: Nanos,
-    open: HashMap<u64, Record>,
-    invariants: Vec<RuleReport>,
+    requests: HashMap<u64, Record>,
+    reports: Vec<RuleReport>,
 }
 
 /// A request's id as it stands in the logs and on the wire.
@@ -166,21 +166,21 @@
     /// An empty book; times in breaches count from `start`.
     pub fn new(limits: Tolerances, start: Nanos) -> Self {
         let named = |rule: &Rule| RuleReport { name: rule.name().to_owned(), ..RuleReport::default() };
-        Self { limits, start, open: HashMap::new(), invariants: RULES.iter().map(named).collect() }
+        Self { limits, start, requests: HashMap::new(), reports: RULES.iter().map(named).collect() }
     }
 
     /// Counts a check of a rule.
     pub fn record_check(&mut self, rule: Rule) {
-        self.invariants[rule as usize].checked += 1;
+        self.reports[rule as usize].checked += 1;
     }
 
     /// Notes a broken rule.
-    pub fn record_violation(&mut self, rule: Rule, id: String, at: Nanos, what: String) {
-        let invariant = &mut self.invariants[rule as usize];
-        invariant.violated += 1;
-        if invariant.violations.len() < MOST_BREACHES {
+    pub fn record_violation(&mut self, rule: Rule, id: String, at: Nanos, detail: String) {
+        let report = &mut self.reports[rule as usize];
+        report.violated += 1;
+        if report.violations.len() < MAX_VIOLATIONS {
             let at_ms = at.saturating_sub(self.start) as f64 / 1e6;
-            invariant.violations.push(Violation { id, at_ms, detail: what });
+            report.violations.push(Violation { id, at_ms, detail });
         }
     }
 
@@ -200,14 +200,14 @@
             excused: false,
             answered: None,
             attempts: Vec::new(),
-            last: now,
+            last_activity: now,
         };
-        self.open.insert(id, record);
+        self.requests.insert(id, record);
     }
 
     /// A request's node was killed, paused or cut off from its client: no answer is owed in time.
     pub fn excuse(&mut self, id: u64) {
-        self.open.get_mut(&id).into_iter().for_each(|record| record.excused = true);
+        self.requests.get_mut(&id).into_iter().for_each(|record| record.excused = true);
     }
 
     /// A request has reached a server, whose node had been told at `drains` that it drains. The attempt's number.
@@ -216,12 +216,12 @@
         id: u64,
         server: u32,
         cell: u64,
-        drains: Option<Nanos>,
+        drain_notified_at: Option<Nanos>,
         now: Nanos,
     ) -> Option<usize> {
         self.record_check(Rule::KnownOnly);
         let (limits, start) = (self.limits, self.start);
-        let Some(record) = self.open.get_mut(&id) else {
+        let Some(record) = self.requests.get_mut(&id) else {
             self.record_violation(
                 Rule::KnownOnly,
                 wire_id(id),
@@ -230,28 +230,29 @@
             );
             return None;
         };
-        record.last = now;
+        record.last_activity = now;
         let since = |at: Nanos| at.saturating_sub(start) as f64 / 1e6;
-        let mut broken: Vec<(Rule, String)> = Vec::new();
+        let mut violations: Vec<(Rule, String)> = Vec::new();
         let mut checked = Vec::new();
         if let Some(first) = record.attempts.iter().find(|attempt| attempt.may_have_run) {
             match record.effect {
                 Idempotency::Idempotent => {}
                 Idempotency::NonIdempotent => {
                     checked.push(Rule::RunsOnce);
-                    broken.push((
+                    violations.push((
                         Rule::RunsOnce,
                         format!("server {server} got it after server {} may have run it", first.server),
                     ));
                 }
                 Idempotency::Keyed => {
                     checked.push(Rule::KeyedInGroup);
-                    let age = now.saturating_sub(first.began);
+                    let age = now.saturating_sub(first.started_at);
                     if first.cell != cell {
-                        broken.push((Rule::KeyedInGroup, format!("group {cell} after group {}", first.cell)));
+                        violations
+                            .push((Rule::KeyedInGroup, format!("group {cell} after group {}", first.cell)));
                     } else if age > record.window + limits.clock_skew {
                         let (age, window) = (age / 1_000_000, record.window / 1_000_000);
-                        broken.push((
+                        violations.push((
                             Rule::KeyedInGroup,
                             format!("{age} ms after the first, past {window} ms"),
                         ));
@@ -260,34 +261,38 @@
             }
         }
         checked.push(Rule::DrainKept);
-        if let Some(told) = drains.filter(|told| now > told + limits.drain_grace + limits.clock_skew) {
-            broken.push((
+        if let Some(notified_at) =
+            drain_notified_at.filter(|notified_at| now > notified_at + limits.drain_grace + limits.clock_skew)
+        {
+            violations.push((
                 Rule::DrainKept,
-                format!("server {server} drains, as its node was told at {:.0} ms", since(told)),
+                format!("server {server} drains, as its node was told at {:.0} ms", since(notified_at)),
             ));
         }
-        record.attempts.push(Attempt { server, cell, began: now, ended: None, may_have_run: true });
-        let number = record.attempts.len() - 1;
+        record.attempts.push(Attempt { server, cell, started_at: now, ended_at: None, may_have_run: true });
+        let index = record.attempts.len() - 1;
         checked.into_iter().for_each(|rule| self.record_check(rule));
-        for (rule, what) in broken {
-            self.record_violation(rule, wire_id(id), now, what);
+        for (rule, detail) in violations {
+            self.record_violation(rule, wire_id(id), now, detail);
         }
-        Some(number)
+        Some(index)
     }
 
     /// An attempt is no longer out. `ran` is false where it surely never ran.
     pub fn attempt_ended(&mut self, id: u64, attempt: usize, ran: bool, now: Nanos) {
         let limits = self.limits;
-        let Some(record) = self.open.get_mut(&id) else { return };
-        record.last = record.last.max(now);
-        let Some(ended) = record.attempts.get_mut(attempt).filter(|attempt| attempt.ended.is_none()) else {
+        let Some(record) = self.requests.get_mut(&id) else { return };
+        record.last_activity = record.last_activity.max(now);
+        let Some(current) = record.attempts.get_mut(attempt).filter(|attempt| attempt.ended_at.is_none())
+        else {
             return;
         };
-        ended.ended = Some(now);
-        ended.may_have_run &= ran;
+        current.ended_at = Some(now);
+        current.may_have_run &= ran;
         // Out together with the next one, by more than two observers' clocks can tell.
-        let overlap = record.attempts.get(attempt + 1).filter(|next| now > next.began + limits.clock_skew);
-        let overlap = overlap.map(|next| (next.server, (now - next.began) / 1_000_000));
+        let overlap =
+            record.attempts.get(attempt + 1).filter(|next| now > next.started_at + limits.clock_skew);
+        let overlap = overlap.map(|next| (next.server, (now - next.started_at) / 1_000_000));
         self.record_check(Rule::NeverTwoOut);
         if let Some((server, ms)) = overlap {
             self.record_violation(
@@ -302,34 +307,34 @@
     /// A client was told how its request ended.
     pub fn request_answered(&mut self, id: u64, answer: FinalAnswer, now: Nanos) {
         let limits = self.limits;
-        let Some(record) = self.open.get_mut(&id) else { return };
-        record.last = record.last.max(now);
-        let mut broken: Vec<(Rule, String)> = Vec::new();
+        let Some(record) = self.requests.get_mut(&id) else { return };
+        record.last_activity = record.last_activity.max(now);
+        let mut violations: Vec<(Rule, String)> = Vec::new();
         if record.answered.is_some() {
-            broken.push((Rule::OneOutcome, "a second answer".to_owned()));
+            violations.push((Rule::OneOutcome, "a second answer".to_owned()));
         } else if !record.excused && now > record.not_after + limits.answer_slack {
             let late = (now - record.not_after) / 1_000_000;
-            broken.push((Rule::OneOutcome, format!("answered {late} ms after its time")));
+            violations.push((Rule::OneOutcome, format!("answered {late} ms after its time")));
         }
         let ran = record.attempts.iter().find(|attempt| attempt.may_have_run).map(|attempt| attempt.server);
         if let (FinalAnswer::Rejected, Some(server), false) =
             (answer, ran, record.effect == Idempotency::Idempotent)
         {
-            broken.push((Rule::RunsOnce, format!("refused though server {server} may have run it")));
+            violations.push((Rule::RunsOnce, format!("refused though server {server} may have run it")));
         }
         record.answered = Some((answer, now));
         self.record_check(Rule::OneOutcome);
         self.record_check(Rule::RunsOnce);
-        for (rule, what) in broken {
-            self.record_violation(rule, wire_id(id), now, what);
+        for (rule, detail) in violations {
+            self.record_violation(rule, wire_id(id), now, detail);
         }
     }
 
     /// A request's time is over: its account is closed. Its attempts may still be out.
     pub fn request_expired(&mut self, id: u64, now: Nanos) {
-        let Some(record) = self.open.get(&id) else { return };
-        let lost = record.answered.is_none() && !record.excused;
-        if lost {
+        let Some(record) = self.requests.get(&id) else { return };
+        let unanswered = record.answered.is_none() && !record.excused;
+        if unanswered {
             self.record_check(Rule::OneOutcome);
             self.record_violation(Rule::OneOutcome, wire_id(id), now, "no answer within its time".to_owned());
         }
@@ -337,43 +342,43 @@
 
     /// Drops a closed request that has nothing out.
     pub fn remove_if_done(&mut self, id: u64) {
-        let done = |record: &Record| record.attempts.iter().all(|attempt| attempt.ended.is_some());
-        if self.open.get(&id).is_some_and(done) {
-            self.open.remove(&id);
+        let done = |record: &Record| record.attempts.iter().all(|attempt| attempt.ended_at.is_some());
+        if self.requests.get(&id).is_some_and(done) {
+            self.requests.remove(&id);
         }
     }
 
     /// Drops what nothing was heard of since then.
     pub fn remove_idle_since(&mut self, then: Nanos) {
-        self.open.retain(|_, record| record.last >= then);
+        self.requests.retain(|_, record| record.last_activity >= then);
     }
 
     /// A cold server fell over, by the work of those who had been told of its start or not: only they break the rule.
-    pub fn server_crashed(&mut self, server: &str, told: bool, now: Nanos) {
+    pub fn server_crashed(&mut self, server: &str, informed: bool, now: Nanos) {
         self.record_check(Rule::ColdSpared);
-        if told {
-            let what = "pushed over while cold by nodes that had been told of its start";
-            self.record_violation(Rule::ColdSpared, server.to_owned(), now, what.to_owned());
+        if informed {
+            let detail = "pushed over while cold by nodes that had been told of its start";
+            self.record_violation(Rule::ColdSpared, server.to_owned(), now, detail.to_owned());
         }
     }
 
     /// Requests that are still in the book.
     pub fn open_requests(&self) -> usize {
-        self.open.len()
+        self.requests.len()
     }
 
     /// The rules as checked so far.
     pub fn reports(&self) -> &[RuleReport] {
-        &self.invariants
+        &self.reports
     }
 
     /// Adds another book's checks to this one's.
     pub fn merge(&mut self, other: &Self) {
-        for (own, other) in self.invariants.iter_mut().zip(&other.invariants) {
+        for (own, other) in self.reports.iter_mut().zip(&other.reports) {
             own.checked += other.checked;
             own.violated += other.violated;
-            let room = MOST_BREACHES.saturating_sub(own.violations.len());
-            own.violations.extend(other.violations.iter().take(room).cloned());
+            let remaining = MAX_VIOLATIONS.saturating_sub(own.violations.len());
+            own.violations.extend(other.violations.iter().take(remaining).cloned());
         }
     }
 }
--- a/model/src/ordered.rs
+++ b/model/src/ordered.rs
@@ -4,23 +4,23 @@
 
 /// A floating-point number in its total order, for heaps.
 #[derive(Clone, Copy, Debug)]
-pub struct Finite(pub f64);
+pub struct TotalF64(pub f64);
 
-impl PartialEq for Finite {
+impl PartialEq for TotalF64 {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
 
-impl Eq for Finite {}
+impl Eq for TotalF64 {}
 
-impl PartialOrd for Finite {
+impl PartialOrd for TotalF64 {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Finite {
+impl Ord for TotalF64 {
     fn cmp(&self, other: &Self) -> Ordering {
         self.0.total_cmp(&other.0)
     }
--- a/model/src/scenario.rs
+++ b/model/src/scenario.rs
@@ -67,8 +67,8 @@
 
 impl<'de> Deserialize<'de> for Range {
     fn deserialize<D: Deserializer<'de>>(input: D) -> Result<Self, D::Error> {
-        struct Read;
-        impl<'de> Visitor<'de> for Read {
+        struct RangeVisitor;
+        impl<'de> Visitor<'de> for RangeVisitor {
             type Value = Range;
 
             fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -92,16 +92,16 @@
             }
 
             fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Range, A::Error> {
-                let wanted = || de::Error::custom("a range has two numbers, such as [2, 8]");
-                let from: f64 = seq.next_element()?.ok_or_else(wanted)?;
-                let to: f64 = seq.next_element()?.ok_or_else(wanted)?;
+                let invalid = || de::Error::custom("a range has two numbers, such as [2, 8]");
+                let from: f64 = seq.next_element()?.ok_or_else(invalid)?;
+                let to: f64 = seq.next_element()?.ok_or_else(invalid)?;
                 if seq.next_element::<f64>()?.is_some() || !from.is_finite() || !to.is_finite() {
-                    return Err(wanted());
+                    return Err(invalid());
                 }
                 Ok(Range { from, to })
             }
         }
-        input.deserialize_any(Read)
+        input.deserialize_any(RangeVisitor)
     }
 }
 
@@ -695,210 +695,213 @@
 
     /// What makes no sense in it, with the key at fault; the first of all.
     pub fn validate(&self) -> Result<(), ValidationError> {
-        let problem = |key: String, text: String| Err(ValidationError { key, message: text });
+        let error = |key: String, text: String| Err(ValidationError { key, message: text });
         let fleet = &self.fleet;
         if fleet.zones.is_empty() || fleet.zones.len() > MAX_ZONES {
-            return problem("fleet.zones".into(), format!("1 to {MAX_ZONES} names are wanted"));
+            return error("fleet.zones".into(), format!("1 to {MAX_ZONES} names are wanted"));
         }
-        for (at, zone) in fleet.zones.iter().enumerate() {
-            if zone.is_empty() || fleet.zones[..at].contains(zone) {
-                return problem("fleet.zones".into(), format!("{zone:?} is empty or stands twice"));
+        for (index, zone) in fleet.zones.iter().enumerate() {
+            if zone.is_empty() || fleet.zones[..index].contains(zone) {
+                return error("fleet.zones".into(), format!("{zone:?} is empty or stands twice"));
             }
         }
-        for (key, value, most) in
+        for (key, value, max) in
             [("fleet.nodes", fleet.nodes, MAX_NODES), ("fleet.servers", fleet.servers, MAX_SERVERS)]
         {
-            if value == 0 || value > most {
-                return problem(key.into(), format!("1 to {most} is wanted, not {value}"));
+            if value == 0 || value > max {
+                return error(key.into(), format!("1 to {max} is wanted, not {value}"));
             }
         }
         if (fleet.servers as usize) < fleet.zones.len() {
-            return problem("fleet.servers".into(), "each zone needs one at least".into());
+            return error("fleet.servers".into(), "each zone needs one at least".into());
         }
         if !fleet.zone_weights.is_empty() && fleet.zone_weights.len() != fleet.zones.len() {
-            return problem(
+            return error(
                 "fleet.sizes".into(),
                 format!("{} figures are wanted, one a zone", fleet.zones.len()),
             );
         }
         if !fleet.zone_weights.iter().all(|size| *size > 0.0 && size.is_finite()) {
-            return problem("fleet.sizes".into(), "figures above 0 are wanted".into());
+            return error("fleet.sizes".into(), "figures above 0 are wanted".into());
         }
-        let between = |key: &str, range: Range, least: f64, most: f64| {
-            if range.min() < least || range.max() > most {
-                return problem(key.to_owned(), format!("{least} to {most} is wanted"));
+        let check_range = |key: &str, range: Range, min: f64, max: f64| {
+            if range.min() < min || range.max() > max {
+                return error(key.to_owned(), format!("{min} to {max} is wanted"));
             }
             Ok(())
         };
-        between("fleet.group", fleet.group_size, 1.0, 10_000.0)?;
+        check_range("fleet.group", fleet.group_size, 1.0, 10_000.0)?;
         let load = &self.load;
         if let Some(rps) = load.rps {
-            between("load.rps", Range::fixed(rps), 0.1, MAX_RPS)?;
+            check_range("load.rps", Range::fixed(rps), 0.1, MAX_RPS)?;
         }
-        between("load.utilisation", Range::fixed(load.utilisation), 0.01, 10.0)?;
-        between("load.swing", load.wave_amplitude, 0.0, 0.9)?;
-        between("load.wave_s", load.wave_period_s, 0.5, MAX_RUN_SECONDS)?;
-        between("load.zone_skew", load.zone_skew, 0.0, 0.9)?;
-        between("load.retries", Range::fixed(load.max_retries.into()), 0.0, 10.0)?;
-        between("load.backoff_ms", load.backoff_ms, 1.0, 60_000.0)?;
-        between("load.heeds", load.retry_after_share, 0.0, 1.0)?;
-        between("load.try_share", load.try_timeout_share, 0.05, 1.0)?;
-        between("network.same_ms", self.network.intra_zone_ms, 0.01, 1000.0)?;
-        between("network.cross_ms", self.network.cross_zone_ms, 0.01, 1000.0)?;
-        between("network.jitter", self.network.jitter, 0.0, 0.9)?;
-        between("discovery.notice_s", self.discovery.propagation_s, 0.0, 60.0)?;
-        between("discovery.silent_s", self.discovery.failure_detection_s, 0.0, 600.0)?;
-        between("rules.drain_grace_ms", Range::fixed(self.rules.drain_grace_ms), 1.0, 60_000.0)?;
-        between("rules.fall_multiple", Range::fixed(self.rules.overload_factor), 1.0, 100.0)?;
-        between("rules.fall_ms", Range::fixed(self.rules.overload_window_ms), 10.0, 60_000.0)?;
-        between("rules.retry_after_ms", Range::fixed(self.rules.max_retry_after_ms), 0.0, 60_000.0)?;
-        between("rules.attempts", Range::fixed(self.rules.max_attempts.into()), 1.0, 10.0)?;
+        check_range("load.utilisation", Range::fixed(load.utilisation), 0.01, 10.0)?;
+        check_range("load.swing", load.wave_amplitude, 0.0, 0.9)?;
+        check_range("load.wave_s", load.wave_period_s, 0.5, MAX_RUN_SECONDS)?;
+        check_range("load.zone_skew", load.zone_skew, 0.0, 0.9)?;
+        check_range("load.retries", Range::fixed(load.max_retries.into()), 0.0, 10.0)?;
+        check_range("load.backoff_ms", load.backoff_ms, 1.0, 60_000.0)?;
+        check_range("load.heeds", load.retry_after_share, 0.0, 1.0)?;
+        check_range("load.try_share", load.try_timeout_share, 0.05, 1.0)?;
+        check_range("network.same_ms", self.network.intra_zone_ms, 0.01, 1000.0)?;
+        check_range("network.cross_ms", self.network.cross_zone_ms, 0.01, 1000.0)?;
+        check_range("network.jitter", self.network.jitter, 0.0, 0.9)?;
+        check_range("discovery.notice_s", self.discovery.propagation_s, 0.0, 60.0)?;
+        check_range("discovery.silent_s", self.discovery.failure_detection_s, 0.0, 600.0)?;
+        check_range("rules.drain_grace_ms", Range::fixed(self.rules.drain_grace_ms), 1.0, 60_000.0)?;
+        check_range("rules.fall_multiple", Range::fixed(self.rules.overload_factor), 1.0, 100.0)?;
+        check_range("rules.fall_ms", Range::fixed(self.rules.overload_window_ms), 10.0, 60_000.0)?;
+        check_range("rules.retry_after_ms", Range::fixed(self.rules.max_retry_after_ms), 0.0, 60_000.0)?;
+        check_range("rules.attempts", Range::fixed(self.rules.max_attempts.into()), 1.0, 10.0)?;
         for (n, kind) in self.kinds.iter().enumerate() {
             let key = |field: &str| format!("kind[{n}].{field}");
-            between(&key("share"), Range::fixed(kind.share), 1e-6, 1e6)?;
-            between(&key("cores"), Range::fixed(kind.cores.into()), 1.0, 1024.0)?;
-            between(&key("speed"), kind.speed, 0.01, 100.0)?;
-            between(&key("slots"), kind.concurrency, 1.0, 10_000.0)?;
-            between(&key("room"), kind.queue_capacity, 0.0, 100_000.0)?;
-            between(&key("thrash"), kind.thrash, 0.0, 10.0)?;
-            between(&key("thrash_at"), kind.thrash_at, 1.0, 10_000.0)?;
-            between(&key("cold_from"), kind.initial_capacity, 0.01, 1.0)?;
-            between(&key("cold_s"), kind.slow_start_s, 0.0, 600.0)?;
-            between(&key("error_rate"), Range::fixed(kind.error_rate), 0.0, 1.0)?;
+            check_range(&key("share"), Range::fixed(kind.share), 1e-6, 1e6)?;
+            check_range(&key("cores"), Range::fixed(kind.cores.into()), 1.0, 1024.0)?;
+            check_range(&key("speed"), kind.speed, 0.01, 100.0)?;
+            check_range(&key("slots"), kind.concurrency, 1.0, 10_000.0)?;
+            check_range(&key("room"), kind.queue_capacity, 0.0, 100_000.0)?;
+            check_range(&key("thrash"), kind.thrash, 0.0, 10.0)?;
+            check_range(&key("thrash_at"), kind.thrash_at, 1.0, 10_000.0)?;
+            check_range(&key("cold_from"), kind.initial_capacity, 0.01, 1.0)?;
+            check_range(&key("cold_s"), kind.slow_start_s, 0.0, 600.0)?;
+            check_range(&key("error_rate"), Range::fixed(kind.error_rate), 0.0, 1.0)?;
         }
         for (n, class) in self.classes.iter().enumerate() {
             let key = |field: &str| format!("class[{n}].{field}");
             if class.name.is_empty() || self.classes[..n].iter().any(|other| other.name == class.name) {
-                return problem(key("name"), "is empty or stands twice".into());
+                return error(key("name"), "is empty or stands twice".into());
             }
-            between(&key("share"), Range::fixed(class.share), 1e-6, 1e6)?;
-            between(&key("work_ms"), class.work_ms, 0.01, 60_000.0)?;
-            between(&key("wait_ms"), class.io_wait_ms, 0.0, 60_000.0)?;
-            between(&key("cv"), class.cv, 0.0, 5.0)?;
-            between(&key("aim_ms"), Range::fixed(class.latency_target_ms), 1.0, 60_000.0)?;
-            between(&key("deadline_ms"), Range::fixed(class.deadline_ms), class.latency_target_ms, 60_000.0)?;
-            between(&key("worth"), Range::fixed(class.value), 0.0, 1e6)?;
-            between(&key("late_worth"), Range::fixed(class.late_value_share), 0.0, 1.0)?;
+            check_range(&key("share"), Range::fixed(class.share), 1e-6, 1e6)?;
+            check_range(&key("work_ms"), class.work_ms, 0.01, 60_000.0)?;
+            check_range(&key("wait_ms"), class.io_wait_ms, 0.0, 60_000.0)?;
+            check_range(&key("cv"), class.cv, 0.0, 5.0)?;
+            check_range(&key("aim_ms"), Range::fixed(class.latency_target_ms), 1.0, 60_000.0)?;
+            check_range(
+                &key("deadline_ms"),
+                Range::fixed(class.deadline_ms),
+                class.latency_target_ms,
+                60_000.0,
+            )?;
+            check_range(&key("worth"), Range::fixed(class.value), 0.0, 1e6)?;
+            check_range(&key("late_worth"), Range::fixed(class.late_value_share), 0.0, 1.0)?;
             if class.idempotency == Idempotency::Keyed {
-                between(&key("window_ms"), Range::fixed(class.dedup_window_ms), 1.0, 600_000.0)?;
+                check_range(&key("window_ms"), Range::fixed(class.dedup_window_ms), 1.0, 600_000.0)?;
             }
         }
         for (n, tenant) in self.tenants.iter().enumerate() {
             let key = |field: &str| format!("tenant[{n}].{field}");
             if tenant.name.is_empty() || self.tenants[..n].iter().any(|other| other.name == tenant.name) {
-                return problem(key("name"), "is empty or stands twice".into());
+                return error(key("name"), "is empty or stands twice".into());
             }
-            between(&key("share"), Range::fixed(tenant.share), 0.0, 1.0)?;
-            between(&key("usage"), tenant.usage, 0.0, 100.0)?;
+            check_range(&key("share"), Range::fixed(tenant.share), 0.0, 1.0)?;
+            check_range(&key("usage"), tenant.usage, 0.0, 100.0)?;
         }
         let registry = &self.registry;
         if registry.replicas > MAX_REPLICAS || registry.replicas.is_multiple_of(2) && registry.replicas > 0 {
-            return problem("registry.replicas".into(), format!("0, 1, 3, 5, 7 or {MAX_REPLICAS} is wanted"));
+            return error("registry.replicas".into(), format!("0, 1, 3, 5, 7 or {MAX_REPLICAS} is wanted"));
         }
-        between("registry.lease_ms", Range::fixed(registry.lease_ms), 500.0, 600_000.0)?;
-        between("registry.renew_ms", Range::fixed(registry.renew_ms), 50.0, registry.lease_ms / 2.0)?;
-        between("registry.snapshot_every", Range::fixed(registry.snapshot_every.into()), 10.0, 1e6)?;
-        between("registry.instances", Range::fixed(registry.instances.into()), 0.0, 10_000.0)?;
-        between("registry.writes_per_s", Range::fixed(registry.writes_per_s), 0.0, 1000.0)?;
-        between("registry.watchers", Range::fixed(registry.watchers.into()), 0.0, 1000.0)?;
+        check_range("registry.lease_ms", Range::fixed(registry.lease_ms), 500.0, 600_000.0)?;
+        check_range("registry.renew_ms", Range::fixed(registry.renew_ms), 50.0, registry.lease_ms / 2.0)?;
+        check_range("registry.snapshot_every", Range::fixed(registry.snapshot_every.into()), 10.0, 1e6)?;
+        check_range("registry.instances", Range::fixed(registry.instances.into()), 0.0, 10_000.0)?;
+        check_range("registry.writes_per_s", Range::fixed(registry.writes_per_s), 0.0, 1000.0)?;
+        check_range("registry.watchers", Range::fixed(registry.watchers.into()), 0.0, 1000.0)?;
         for watchers in &registry.watcher_steps {
-            between("registry.crowd", Range::fixed((*watchers).into()), 1.0, 15_000.0)?;
+            check_range("registry.crowd", Range::fixed((*watchers).into()), 1.0, 15_000.0)?;
         }
         if self.faults.len() > MAX_FAULTS {
-            return problem("fault".into(), format!("{MAX_FAULTS} at most, not {}", self.faults.len()));
+            return error("fault".into(), format!("{MAX_FAULTS} at most, not {}", self.faults.len()));
         }
         self.faults.iter().enumerate().try_for_each(|(n, fault)| self.validate_fault(n, fault))
     }
 
     fn validate_fault(&self, n: usize, fault: &Fault) -> Result<(), ValidationError> {
-        let problem = |field: &str, text: String| {
+        let error = |field: &str, text: String| {
             Err(ValidationError { key: format!("fault[{n}].{field}"), message: text })
         };
-        let picks = fault.kind.target_kind();
+        let target_kind = fault.kind.target_kind();
         if fault.at_s.min() < 0.0 || fault.at_s.max() > MAX_RUN_SECONDS {
-            return problem("at_s", format!("0 to {MAX_RUN_SECONDS} is wanted"));
+            return error("at_s", format!("0 to {MAX_RUN_SECONDS} is wanted"));
         }
         if fault.duration_s.is_some_and(|span| span.min() < 0.0)
             || fault.interval_s.is_some_and(|s| s.min() < 0.0)
         {
-            return problem("for_s", "0 or more is wanted".into());
+            return error("for_s", "0 or more is wanted".into());
         }
-        let known = |zone: &String| self.fleet.zones.contains(zone);
+        let is_zone = |zone: &String| self.fleet.zones.contains(zone);
         let zones = self.fleet.zones.join(", ");
-        if let Some(zone) = fault.zone.as_ref().filter(|zone| !known(zone)) {
-            return problem("zone", format!("{zone:?} is none of {zones}"));
+        if let Some(zone) = fault.zone.as_ref().filter(|zone| !is_zone(zone)) {
+            return error("zone", format!("{zone:?} is none of {zones}"));
         }
         match (fault.kind.factor_bounds(), fault.factor) {
-            (Some((unit, ..)), None) => return problem("factor", format!("is wanted: {unit}")),
-            (None, Some(_)) => return problem("factor", "does not go with this trouble".into()),
+            (Some((unit, ..)), None) => return error("factor", format!("is wanted: {unit}")),
+            (None, Some(_)) => return error("factor", "does not go with this trouble".into()),
             (Some((unit, least, most)), Some(range)) if range.min() < least || range.max() > most => {
-                return problem("factor", format!("is wanted as {unit}"));
+                return error("factor", format!("is wanted as {unit}"));
             }
             _ => {}
         }
-        let named = [fault.target.is_some(), fault.count.is_some(), fault.share.is_some()];
-        let picked = named.iter().filter(|given| **given).count();
-        match picks {
+        let selectors = [fault.target.is_some(), fault.count.is_some(), fault.share.is_some()];
+        let selector_count = selectors.iter().filter(|given| **given).count();
+        match target_kind {
             TargetKind::Nodes | TargetKind::Servers | TargetKind::Replicas => {
-                if picked != 1 {
-                    return problem("who", "one of who, count or share is wanted".into());
+                if selector_count != 1 {
+                    return error("who", "one of who, count or share is wanted".into());
                 }
                 if fault.share.is_some_and(|share| share.min() < 0.0 || share.max() > 1.0) {
-                    return problem("share", "0 to 1 is wanted".into());
+                    return error("share", "0 to 1 is wanted".into());
                 }
-                let (prefix, most) = match picks {
+                let (prefix, most) = match target_kind {
                     TargetKind::Nodes => ("n", self.fleet.nodes),
                     TargetKind::Servers => ("s", self.fleet.servers),
                     _ => ("r", self.registry.replicas),
                 };
-                if picks == TargetKind::Replicas && most == 0 {
-                    return problem("what", "there is no registry: set registry.replicas".into());
+                if target_kind == TargetKind::Replicas && most == 0 {
+                    return error("what", "there is no registry: set registry.replicas".into());
                 }
-                let leads = picks == TargetKind::Replicas && fault.target.as_deref() == Some(LEADER);
-                if let Some(who) = fault.target.as_ref().filter(|_| !leads) {
+                let is_leader =
+                    target_kind == TargetKind::Replicas && fault.target.as_deref() == Some(LEADER);
+                if let Some(who) = fault.target.as_ref().filter(|_| !is_leader) {
                     let number = who.strip_prefix(prefix).and_then(|number| number.parse::<u32>().ok());
                     if number.is_none_or(|number| number >= most) {
-                        return problem(
-                            "who",
-                            format!("{who:?} is none of {prefix}0 to {prefix}{}", most - 1),
-                        );
+                        return error("who", format!("{who:?} is none of {prefix}0 to {prefix}{}", most - 1));
                     }
                 }
             }
             TargetKind::Zone => match &fault.target {
-                Some(zone) if known(zone) => {}
-                Some(zone) => return problem("who", format!("{zone:?} is none of {zones}")),
-                None => return problem("who", format!("a zone is wanted, one of {zones}")),
+                Some(zone) if is_zone(zone) => {}
+                Some(zone) => return error("who", format!("{zone:?} is none of {zones}")),
+                None => return error("who", format!("a zone is wanted, one of {zones}")),
             },
             TargetKind::Tenant => {
                 let names: Vec<&str> = self.tenants.iter().map(|tenant| tenant.name.as_str()).collect();
                 if !fault.target.as_deref().is_some_and(|who| names.contains(&who)) {
-                    return problem("who", format!("a tenant is wanted, one of: {}", names.join(", ")));
+                    return error("who", format!("a tenant is wanted, one of: {}", names.join(", ")));
                 }
             }
             TargetKind::Link => {
                 for (field, end) in [("from", &fault.from), ("to", &fault.to)] {
                     let Some(end) = end else {
-                        return problem(field, "is wanted: a node, a server, a zone, discovery or *".into());
+                        return error(field, "is wanted: a node, a server, a zone, discovery or *".into());
                     };
                     if !self.is_link_end(end) {
-                        return problem(
+                        return error(
                             field,
                             format!("{end:?} is no node, server or zone, nor discovery or *"),
                         );
                     }
                 }
             }
-            TargetKind::Global if picked > 0 => {
-                return problem("who", "does not go with this trouble".into());
+            TargetKind::Global if selector_count > 0 => {
+                return error("who", "does not go with this trouble".into());
             }
             TargetKind::Global => {}
         }
-        if picks != TargetKind::Link && (fault.from.is_some() || fault.to.is_some() || fault.one_way) {
-            return problem("from", "goes with links only".into());
+        if target_kind != TargetKind::Link && (fault.from.is_some() || fault.to.is_some() || fault.one_way) {
+            return error("from", "goes with links only".into());
         }
         if fault.kind != FaultKind::LoseZone && fault.cold {
-            return problem("cold", "goes with lose-zone only".into());
+            return error("cold", "goes with lose-zone only".into());
         }
         Ok(())
     }
--- a/model/src/server.rs
+++ b/model/src/server.rs
@@ -10,18 +10,18 @@
 
 use brookfield::Nanos;
 
-use crate::ordered::Finite;
+use crate::ordered::TotalF64;
 
 const SECOND: f64 = 1e9;
 /// Share of a cold budget that may be overdrawn, and requests beyond it: sends come by chance.
-const TIP_SLACK: f64 = 0.1;
-const TIP_SLACK_REQUESTS: f64 = 1.0;
+const OVERLOAD_TOLERANCE: f64 = 0.1;
+const OVERLOAD_TOLERANCE_REQUESTS: f64 = 1.0;
 /// Whoever sent more than this part of what pushed a cold server over has done it.
-const TOLD_PART: f64 = 2.0 / 3.0;
+const RESPONSIBLE_SHARE: f64 = 2.0 / 3.0;
 /// Two words of a start are of the same one if they differ by less: the rig's clock and the list's are read apart.
-const SAME_START: Nanos = 500_000_000;
+const SAME_START_TOLERANCE_NS: Nanos = 500_000_000;
 /// Weight of the latest refresh in the reported utilisation.
-const UTIL_WEIGHT: f64 = 0.5;
+const UTILIZATION_WEIGHT: f64 = 0.5;
 
 /// What happens to work whose attempt is cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -204,41 +204,41 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Stage {
     Queued,
-    Computes,
-    Waits,
+    OnCpu,
+    Waiting,
 }
 
 /// A server's state. Every call is given the present; a time before the last one counts as that.
 pub struct Server {
     spec: ServerSpec,
-    ailment: ServerFault,
+    fault: ServerFault,
     now: Nanos,
     up: bool,
     /// Since when it has been up, unless it was warm from the beginning.
-    booted: Option<Nanos>,
+    started_at: Option<Nanos>,
     /// Service that each request that computes has got so far, in nanoseconds of a standard core.
-    served: f64,
+    service_total: f64,
     jobs: HashMap<u64, (Job, Stage)>,
-    computing: BinaryHeap<Reverse<(Finite, u64)>>,
-    computes: usize,
-    waiting: BinaryHeap<Reverse<(Nanos, u64)>>,
+    cpu_phase: BinaryHeap<Reverse<(TotalF64, u64)>>,
+    cpu_jobs: usize,
+    wait_phase: BinaryHeap<Reverse<(Nanos, u64)>>,
     queue: VecDeque<u64>,
-    held_slots: usize,
+    slots_in_use: usize,
     connections: usize,
     /// Work sent while cold, by time, and whether its sender knew of the start; the sum within the span decides
     /// whether it falls over.
-    cold_sends: VecDeque<(Nanos, f64, bool)>,
-    fallen: bool,
+    cold_work: VecDeque<(Nanos, f64, bool)>,
+    crashed: bool,
     /// Part of the work that pushed it over which came from senders that knew of its start.
-    told_part: f64,
-    crowded_since: Option<Nanos>,
-    choked_since: Option<Nanos>,
+    informed_share: f64,
+    overloaded_since: Option<Nanos>,
+    congested_since: Option<Nanos>,
     calm_since: Option<Nanos>,
     /// Core-nanoseconds in use since the last refresh of the report.
-    busy: f64,
-    refreshed: Nanos,
+    busy_core_ns: f64,
+    sampled_at: Nanos,
     util: f64,
-    told_util: Option<(f64, Nanos, f64)>,
+    reported_util: Option<(f64, Nanos, f64)>,
     epoch: u64,
 }
 
@@ -247,28 +247,28 @@
     pub fn new(spec: ServerSpec, now: Nanos) -> Self {
         Self {
             spec,
-            ailment: ServerFault::default(),
+            fault: ServerFault::default(),
             now,
             up: true,
-            booted: None,
-            served: 0.0,
+            started_at: None,
+            service_total: 0.0,
             jobs: HashMap::new(),
-            computing: BinaryHeap::new(),
-            computes: 0,
-            waiting: BinaryHeap::new(),
+            cpu_phase: BinaryHeap::new(),
+            cpu_jobs: 0,
+            wait_phase: BinaryHeap::new(),
             queue: VecDeque::new(),
-            held_slots: 0,
+            slots_in_use: 0,
             connections: 0,
-            cold_sends: VecDeque::new(),
-            fallen: false,
-            told_part: 0.0,
-            crowded_since: None,
-            choked_since: None,
+            cold_work: VecDeque::new(),
+            crashed: false,
+            informed_share: 0.0,
+            overloaded_since: None,
+            congested_since: None,
             calm_since: None,
-            busy: 0.0,
-            refreshed: now,
+            busy_core_ns: 0.0,
+            sampled_at: now,
             util: 0.0,
-            told_util: None,
+            reported_util: None,
             epoch: 0,
         }
     }
@@ -285,22 +285,22 @@
 
     /// Whether it fell over while cold: it stays down until it is started again.
     pub fn has_crashed(&self) -> bool {
-        self.fallen
+        self.crashed
     }
 
     /// Whether it was pushed over by those who had been told of its start: over two thirds of the work came from them.
     pub fn overloaded_by_informed_senders(&self) -> bool {
-        self.fallen && self.told_part > TOLD_PART
+        self.crashed && self.informed_share > RESPONSIBLE_SHARE
     }
 
     /// Whether crowding has turned it slow.
     pub fn is_congested(&self) -> bool {
-        self.choked_since.is_some()
+        self.congested_since.is_some()
     }
 
     /// Since when it has been up; none if it was warm from the beginning.
     pub fn started_at(&self) -> Option<Nanos> {
-        self.booted
+        self.started_at
     }
 
     /// Requests that it holds.
@@ -315,104 +315,104 @@
 
     /// Its process ends, and with it all that it held: these, in the order of their numbers.
     pub fn stop(&mut self, now: Nanos) -> Vec<Job> {
-        self.move_to(now);
+        self.advance_clock(now);
         self.up = false;
         self.epoch += 1;
-        let mut held: Vec<Job> = self.jobs.drain().map(|(_, (job, _))| job).collect();
-        held.sort_unstable_by_key(|job| job.id);
-        self.computing.clear();
-        self.waiting.clear();
+        let mut lost: Vec<Job> = self.jobs.drain().map(|(_, (job, _))| job).collect();
+        lost.sort_unstable_by_key(|job| job.id);
+        self.cpu_phase.clear();
+        self.wait_phase.clear();
         self.queue.clear();
-        (self.computes, self.held_slots, self.connections) = (0, 0, 0);
-        held
+        (self.cpu_jobs, self.slots_in_use, self.connections) = (0, 0, 0);
+        lost
     }
 
     /// A process starts, cold or not. What the last one held is lost.
     pub fn start(&mut self, now: Nanos, cold: bool) -> Vec<Job> {
-        let held = self.stop(now);
+        let lost = self.stop(now);
         self.up = true;
-        self.fallen = false;
-        self.booted = cold.then_some(now);
-        self.cold_sends.clear();
-        (self.crowded_since, self.choked_since, self.calm_since) = (None, None, None);
-        (self.busy, self.refreshed, self.util, self.told_util) = (0.0, now, 0.0, None);
-        held
+        self.crashed = false;
+        self.started_at = cold.then_some(now);
+        self.cold_work.clear();
+        (self.overloaded_since, self.congested_since, self.calm_since) = (None, None, None);
+        (self.busy_core_ns, self.sampled_at, self.util, self.reported_util) = (0.0, now, 0.0, None);
+        lost
     }
 
     /// Begins or ends a fault.
-    pub fn set_fault(&mut self, now: Nanos, ailment: ServerFault) {
-        self.move_to(now);
-        self.ailment = ailment;
+    pub fn set_fault(&mut self, now: Nanos, fault: ServerFault) {
+        self.advance_clock(now);
+        self.fault = fault;
     }
 
     /// The fault that it has.
     pub fn fault(&self) -> ServerFault {
-        self.ailment
+        self.fault
     }
 
     /// Share of its capacity that it has by now.
     pub fn capacity_share(&self, now: Nanos) -> f64 {
-        let Some(booted) = self.booted else { return 1.0 };
-        let part = now.saturating_sub(booted) as f64 / self.spec.slow_start_window.max(1) as f64;
-        (self.spec.initial_capacity + (1.0 - self.spec.initial_capacity) * part).min(1.0)
+        let Some(started_at) = self.started_at else { return 1.0 };
+        let progress = now.saturating_sub(started_at) as f64 / self.spec.slow_start_window.max(1) as f64;
+        (self.spec.initial_capacity + (1.0 - self.spec.initial_capacity) * progress).min(1.0)
     }
 
     /// A connection comes in; false where its table is full or its process down.
     pub fn connect(&mut self, now: Nanos) -> bool {
-        self.move_to(now);
-        let fits = self.up && self.connections < self.spec.max_connections;
-        self.connections += usize::from(fits);
-        fits
+        self.advance_clock(now);
+        let accepted = self.up && self.connections < self.spec.max_connections;
+        self.connections += usize::from(accepted);
+        accepted
     }
 
     /// A connection has ended.
     pub fn disconnect(&mut self, now: Nanos) {
-        self.move_to(now);
+        self.advance_clock(now);
         self.connections = self.connections.saturating_sub(1);
     }
 
     /// Whether a request with this luck would be answered, if it needed no work: so a repeat that its group knows is.
     pub fn would_respond(&self, luck: f64) -> bool {
-        self.up && !self.fallen && !self.ailment.hung && luck >= self.ailment.failure_rate
+        self.up && !self.crashed && !self.fault.hung && luck >= self.fault.failure_rate
     }
 
     /// A request comes in, on a new connection or one that was there.
-    pub fn submit(&mut self, now: Nanos, mut job: Job, fresh: bool) -> Admission {
-        self.move_to(now);
+    pub fn submit(&mut self, now: Nanos, mut job: Job, new_connection: bool) -> Admission {
+        self.advance_clock(now);
         if !self.up {
             return Admission::Down;
         }
-        self.count_cold(&job);
-        if self.fallen {
+        self.track_cold_work(&job);
+        if self.crashed {
             return Admission::Down;
         }
-        if job.failure_draw < self.ailment.failure_rate {
+        if job.failure_draw < self.fault.failure_rate {
             return Admission::Failed;
         }
-        if fresh {
+        if new_connection {
             job.work += self.spec.handshake_work;
         }
-        if self.held_slots >= self.spec.concurrency && self.queue.len() >= self.spec.queue_capacity {
+        if self.slots_in_use >= self.spec.concurrency && self.queue.len() >= self.spec.queue_capacity {
             return Admission::Full;
         }
-        if self.held_slots < self.spec.concurrency {
-            self.begin(job);
+        if self.slots_in_use < self.spec.concurrency {
+            self.start_job(job);
         } else {
             self.queue.push_back(job.id);
             self.jobs.insert(job.id, (job, Stage::Queued));
         }
-        self.watch_crowd();
+        self.update_overload();
         Admission::Accepted
     }
 
     /// The attempt was withdrawn. Whether its work was dropped before it began.
     pub fn cancel(&mut self, now: Nanos, id: u64) -> bool {
-        self.move_to(now);
-        let queued = self.jobs.get(&id).is_some_and(|(_, stage)| *stage == Stage::Queued);
-        if queued && self.spec.cancel_policy == CancelPolicy::DropQueued {
+        self.advance_clock(now);
+        let is_queued = self.jobs.get(&id).is_some_and(|(_, stage)| *stage == Stage::Queued);
+        if is_queued && self.spec.cancel_policy == CancelPolicy::DropQueued {
             self.jobs.remove(&id);
-            self.queue.retain(|waiting| *waiting != id);
-            self.watch_crowd();
+            self.queue.retain(|queued_id| *queued_id != id);
+            self.update_overload();
             return true;
         }
         false
@@ -423,42 +423,42 @@
         if !self.up {
             return None;
         }
-        let waits = self.waiting.peek().map(|Reverse((at, _))| *at).filter(|_| !self.ailment.hung);
-        let choke = self.spec.congestion.and_then(|choke| match self.choked_since {
-            None => self.crowded_since.map(|since| since + choke.onset),
+        let wait_end = self.wait_phase.peek().map(|Reverse((at, _))| *at).filter(|_| !self.fault.hung);
+        let congestion = self.spec.congestion.and_then(|congestion| match self.congested_since {
+            None => self.overloaded_since.map(|since| since + congestion.onset),
             Some(since) => Some(
-                (since + choke.max_duration)
-                    .min(self.calm_since.map_or(Nanos::MAX, |at| at + choke.recovery_time)),
+                (since + congestion.max_duration)
+                    .min(self.calm_since.map_or(Nanos::MAX, |at| at + congestion.recovery_time)),
             ),
         });
-        let next = [self.computed_at(), waits, choke].into_iter().flatten().min()?;
+        let next = [self.cpu_phase_end(), wait_end, congestion].into_iter().flatten().min()?;
         Some(next.max(self.now))
     }
 
     /// Lets time pass and tells what has ended by then, in order.
     pub fn advance(&mut self, now: Nanos, ended: &mut Vec<(Job, JobOutcome)>) {
         while let Some(next) = self.next_event().filter(|next| *next <= now) {
-            self.move_to(next);
-            self.turn(ended);
+            self.advance_clock(next);
+            self.process_due(ended);
         }
-        self.move_to(now);
+        self.advance_clock(now);
     }
 
     /// Share of its cores in use as it is reported now, and never sooner than its delay tells. `noise` is a draw
     /// from the standard normal distribution.
     pub fn report(&mut self, now: Nanos, noise: f64) -> Option<f64> {
         let reporting = self.spec.reporting?;
-        self.move_to(now);
-        let span = now.saturating_sub(self.refreshed);
-        if span >= reporting.period {
-            let fresh = (self.busy / (span as f64 * self.spec.cores)).min(1.0);
-            let told = self.util;
-            self.util += (fresh - self.util) * UTIL_WEIGHT;
+        self.advance_clock(now);
+        let elapsed = now.saturating_sub(self.sampled_at);
+        if elapsed >= reporting.period {
+            let sample = (self.busy_core_ns / (elapsed as f64 * self.spec.cores)).min(1.0);
+            let previous = self.util;
+            self.util += (sample - self.util) * UTILIZATION_WEIGHT;
             let noisy = (self.util * (1.0 + reporting.noise * noise)).clamp(0.0, 1.5);
-            self.told_util = Some((told, now + reporting.delay, noisy));
-            (self.busy, self.refreshed) = (0.0, now);
+            self.reported_util = Some((previous, now + reporting.delay, noisy));
+            (self.busy_core_ns, self.sampled_at) = (0.0, now);
         }
-        self.told_util.map(|(before, from, after)| if now >= from { after } else { before })
+        self.reported_util.map(|(before, from, after)| if now >= from { after } else { before })
     }
 
     /// Work that it could do in a second at full size, on a standard core, in nanoseconds.
@@ -466,102 +466,103 @@
         self.spec.cores * self.spec.speed * SECOND
     }
 
-    fn begin(&mut self, job: Job) {
-        self.held_slots += 1;
-        self.computes += 1;
-        self.computing.push(Reverse((Finite(self.served + job.work.max(1.0)), job.id)));
-        self.jobs.insert(job.id, (job, Stage::Computes));
+    fn start_job(&mut self, job: Job) {
+        self.slots_in_use += 1;
+        self.cpu_jobs += 1;
+        self.cpu_phase.push(Reverse((TotalF64(self.service_total + job.work.max(1.0)), job.id)));
+        self.jobs.insert(job.id, (job, Stage::OnCpu));
     }
 
     /// Whatever is due at the present moment.
-    fn turn(&mut self, ended: &mut Vec<(Job, JobOutcome)>) {
-        if let Some(&Reverse((due, id))) = self.computing.peek()
-            && self.computed_at().is_some_and(|at| at <= self.now)
+    fn process_due(&mut self, ended: &mut Vec<(Job, JobOutcome)>) {
+        if let Some(&Reverse((target, id))) = self.cpu_phase.peek()
+            && self.cpu_phase_end().is_some_and(|at| at <= self.now)
         {
             // Rounding may leave a hair's breadth: the total is what the request was waiting for.
-            self.served = self.served.max(due.0);
-            self.computing.pop();
-            self.computes -= 1;
+            self.service_total = self.service_total.max(target.0);
+            self.cpu_phase.pop();
+            self.cpu_jobs -= 1;
             if let Some((job, stage)) = self.jobs.get_mut(&id) {
-                *stage = Stage::Waits;
-                self.waiting.push(Reverse((self.now.saturating_add(job.io_wait), id)));
+                *stage = Stage::Waiting;
+                self.wait_phase.push(Reverse((self.now.saturating_add(job.io_wait), id)));
             }
         }
-        while let Some(id) = self.waited_out() {
-            self.waiting.pop();
-            self.held_slots -= 1;
+        while let Some(id) = self.finished_wait() {
+            self.wait_phase.pop();
+            self.slots_in_use -= 1;
             if let Some((job, _)) = self.jobs.remove(&id) {
-                let fails = job.failure_draw < self.ailment.failure_rate + self.spec.error_rate;
+                let fails = job.failure_draw < self.fault.failure_rate + self.spec.error_rate;
                 ended.push((job, if fails { JobOutcome::Error } else { JobOutcome::Served }));
             }
         }
-        while self.held_slots < self.spec.concurrency {
+        while self.slots_in_use < self.spec.concurrency {
             let Some(id) = self.queue.pop_front() else { break };
             let Some((job, _)) = self.jobs.remove(&id) else { continue };
             if self.spec.drops_expired && job.not_after <= self.now {
                 ended.push((job, JobOutcome::Dropped));
             } else {
-                self.begin(job);
+                self.start_job(job);
             }
         }
-        self.watch_crowd();
-        self.watch_choke();
+        self.update_overload();
+        self.update_congestion();
     }
 
     /// The request that has waited on others long enough by now. One that hangs answers none.
-    fn waited_out(&self) -> Option<u64> {
-        let Reverse((at, id)) = self.waiting.peek()?;
-        (*at <= self.now && !self.ailment.hung).then_some(*id)
+    fn finished_wait(&self) -> Option<u64> {
+        let Reverse((at, id)) = self.wait_phase.peek()?;
+        (*at <= self.now && !self.fault.hung).then_some(*id)
     }
 
     /// Service a second of real time that each computing request gets at full warmth; 0 while it hangs.
-    fn rate(&self) -> f64 {
-        if !self.up || self.ailment.hung || self.computes == 0 {
+    fn service_rate(&self) -> f64 {
+        if !self.up || self.fault.hung || self.cpu_jobs == 0 {
             return 0.0;
         }
-        let held = self.jobs.len() as f64 / self.spec.cores;
-        let over = (held / self.spec.thrash_at.max(1e-9) - 1.0).max(0.0);
-        let taxed = self.connections as f64 / self.spec.max_connections.max(1) as f64;
-        let choked = match (self.choked_since, self.spec.congestion) {
+        let jobs_per_core = self.jobs.len() as f64 / self.spec.cores;
+        let excess = (jobs_per_core / self.spec.thrash_at.max(1e-9) - 1.0).max(0.0);
+        let connection_share = self.connections as f64 / self.spec.max_connections.max(1) as f64;
+        let congestion = match (self.congested_since, self.spec.congestion) {
             (Some(_), Some(choke)) => choke.slowdown,
             _ => 1.0,
         };
-        let efficiency = (1.0 - self.spec.connection_overhead * taxed) * (1.0 - self.ailment.stolen_cpu)
-            / ((1.0 + self.spec.thrash * over) * choked * self.ailment.slowdown);
-        let share = (self.spec.cores / self.computes as f64).min(1.0);
+        let efficiency = (1.0 - self.spec.connection_overhead * connection_share)
+            * (1.0 - self.fault.stolen_cpu)
+            / ((1.0 + self.spec.thrash * excess) * congestion * self.fault.slowdown);
+        let share = (self.spec.cores / self.cpu_jobs as f64).min(1.0);
         self.spec.speed * efficiency * share
     }
 
     /// When the next request is done computing.
-    fn computed_at(&self) -> Option<Nanos> {
-        let Reverse((due, _)) = self.computing.peek()?;
-        let rate = self.rate();
+    fn cpu_phase_end(&self) -> Option<Nanos> {
+        let Reverse((target, _)) = self.cpu_phase.peek()?;
+        let rate = self.service_rate();
         if rate <= 0.0 {
             return None;
         }
-        let wanted = (due.0 - self.served).max(0.0) / rate;
-        Some(self.now.saturating_add(self.warm_span(wanted).ceil() as Nanos))
+        let service = (target.0 - self.service_total).max(0.0) / rate;
+        Some(self.now.saturating_add(self.ramp_time(service).ceil() as Nanos))
     }
 
     /// How long it takes from now on until the ramp's integral is this, in nanoseconds.
-    fn warm_span(&self, wanted: f64) -> f64 {
+    fn ramp_time(&self, wanted: f64) -> f64 {
         let (from, ramp) = (self.capacity_share(self.now), self.ramp_slope());
         let Some(slope) = ramp else { return wanted };
-        let left = (1.0 - from) / slope;
-        let by_warm = left * (from + 1.0) / 2.0;
-        if wanted >= by_warm {
-            return left + (wanted - by_warm);
+        let until_warm = (1.0 - from) / slope;
+        let integral_until_warm = until_warm * (from + 1.0) / 2.0;
+        if wanted >= integral_until_warm {
+            return until_warm + (wanted - integral_until_warm);
         }
         // from * t + slope * t * t / 2 = wanted
         ((from * from + 2.0 * slope * wanted).sqrt() - from) / slope
     }
 
     /// The ramp's integral over a span from now on, in nanoseconds.
-    fn warm_integral(&self, span: f64) -> f64 {
+    fn ramp_integral(&self, span: f64) -> f64 {
         let from = self.capacity_share(self.now);
         let Some(slope) = self.ramp_slope() else { return span };
-        let left = ((1.0 - from) / slope).min(span);
-        left * (from + slope * left / 2.0) + (span - left)
+        let until_warm = ((1.0 - from) / slope).min(span);
+        until_warm * (from + slope * until_warm / 2.0) + (span - until_warm)
     }
 
     /// What the ramp gains in a nanosecond; none once it is warm.
@@ -570,85 +571,85 @@
         (gain > 0.0 && self.capacity_share(self.now) < 1.0).then_some(gain)
     }
 
-    fn move_to(&mut self, now: Nanos) {
+    fn advance_clock(&mut self, now: Nanos) {
         if now <= self.now {
             return;
         }
-        let span = (now - self.now) as f64;
-        let rate = self.rate();
-        if rate > 0.0 {
-            self.served += rate * self.warm_integral(span);
+        let elapsed = (now - self.now) as f64;
+        let service_rate = self.service_rate();
+        if service_rate > 0.0 {
+            self.service_total += service_rate * self.ramp_integral(elapsed);
         }
-        self.busy += span * (self.computes as f64).min(self.spec.cores);
+        self.busy_core_ns += elapsed * (self.cpu_jobs as f64).min(self.spec.cores);
         self.now = now;
         // The total is a difference of ever larger figures: idle, it starts anew.
-        if self.computing.is_empty() {
-            self.served = 0.0;
+        if self.cpu_phase.is_empty() {
+            self.service_total = 0.0;
         }
     }
 
-    fn count_cold(&mut self, job: &Job) {
-        let ramp = self.capacity_share(self.now);
-        if ramp >= 1.0 {
-            self.cold_sends.clear();
+    fn track_cold_work(&mut self, job: &Job) {
+        let capacity_share = self.capacity_share(self.now);
+        if capacity_share >= 1.0 {
+            self.cold_work.clear();
             return;
         }
-        let told = match (job.known_start, self.booted) {
-            (Some(told), Some(booted)) => told.abs_diff(booted) < SAME_START,
+        let informed = match (job.known_start, self.started_at) {
+            (Some(known), Some(started_at)) => known.abs_diff(started_at) < SAME_START_TOLERANCE_NS,
             _ => false,
         };
-        self.cold_sends.push_back((self.now, job.work, told));
+        self.cold_work.push_back((self.now, job.work, informed));
         let since = self.now.saturating_sub(self.spec.overload_window);
-        while self.cold_sends.front().is_some_and(|send| send.0 < since) {
-            self.cold_sends.pop_front();
+        while self.cold_work.front().is_some_and(|work| work.0 < since) {
+            self.cold_work.pop_front();
         }
-        let sent: f64 = self.cold_sends.iter().map(|send| send.1).sum();
-        let span = self.spec.overload_window as f64 / SECOND;
-        let budget = self.spec.overload_factor * ramp * self.capacity() * span;
-        let most = if self.spec.mean_work > 0.0 {
+        let sent: f64 = self.cold_work.iter().map(|work| work.1).sum();
+        let window_s = self.spec.overload_window as f64 / SECOND;
+        let budget = self.spec.overload_factor * capacity_share * self.capacity() * window_s;
+        let limit = if self.spec.mean_work > 0.0 {
             let requests = budget / self.spec.mean_work;
             (requests + 2.0 * requests.sqrt() + 2.0) * self.spec.mean_work
         } else {
-            let largest = self.cold_sends.iter().map(|send| send.1).fold(0.0, f64::max);
-            budget * (1.0 + TIP_SLACK) + TIP_SLACK_REQUESTS * largest
+            let largest = self.cold_work.iter().map(|work| work.1).fold(0.0, f64::max);
+            budget * (1.0 + OVERLOAD_TOLERANCE) + OVERLOAD_TOLERANCE_REQUESTS * largest
         };
-        if sent > most {
-            let told: f64 = self.cold_sends.iter().filter(|send| send.2).map(|send| send.1).sum();
-            self.told_part = told / sent;
+        if sent > limit {
+            let informed_work: f64 = self.cold_work.iter().filter(|work| work.2).map(|work| work.1).sum();
+            self.informed_share = informed_work / sent;
             // What it held is lost without a word: the machine is gone, and its peers notice by themselves.
             self.stop(self.now);
-            self.fallen = true;
+            self.crashed = true;
         }
     }
 
     /// Requests that wait for a core, for each core.
-    fn crowd(&self) -> f64 {
-        let waiting = (self.computes + self.queue.len()) as f64 - self.spec.cores;
+    fn queued_per_core(&self) -> f64 {
+        let waiting = (self.cpu_jobs + self.queue.len()) as f64 - self.spec.cores;
         waiting.max(0.0) / self.spec.cores
     }
 
-    fn watch_crowd(&mut self) {
-        let Some(choke) = self.spec.congestion else { return };
-        let crowded = self.crowd() >= choke.queued_per_core;
-        self.crowded_since = crowded.then(|| self.crowded_since.unwrap_or(self.now));
-        let busy = (self.computes as f64 / self.spec.cores).min(1.0);
-        let calm = busy < choke.recovery_utilization;
+    fn update_overload(&mut self) {
+        let Some(congestion) = self.spec.congestion else { return };
+        let overloaded = self.queued_per_core() >= congestion.queued_per_core;
+        self.overloaded_since = overloaded.then(|| self.overloaded_since.unwrap_or(self.now));
+        let busy = (self.cpu_jobs as f64 / self.spec.cores).min(1.0);
+        let calm = busy < congestion.recovery_utilization;
         self.calm_since = calm.then(|| self.calm_since.unwrap_or(self.now));
     }
 
-    fn watch_choke(&mut self) {
-        let Some(choke) = self.spec.congestion else { return };
-        match self.choked_since {
+    fn update_congestion(&mut self) {
+        let Some(congestion) = self.spec.congestion else { return };
+        match self.congested_since {
             None => {
-                if self.crowded_since.is_some_and(|since| self.now >= since + choke.onset) {
-                    self.choked_since = Some(self.now);
+                if self.overloaded_since.is_some_and(|since| self.now >= since + congestion.onset) {
+                    self.congested_since = Some(self.now);
                 }
             }
             Some(since) => {
-                let rested = self.calm_since.is_some_and(|at| self.now >= at + choke.recovery_time);
-                if rested || self.now >= since + choke.max_duration {
-                    (self.choked_since, self.crowded_since) = (None, None);
-                    self.watch_crowd();
+                let recovered = self.calm_since.is_some_and(|at| self.now >= at + congestion.recovery_time);
+                if recovered || self.now >= since + congestion.max_duration {
+                    (self.congested_since, self.overloaded_since) = (None, None);
+                    self.update_overload();
                 }
             }
         }
--- a/model/src/simulation.rs
+++ b/model/src/simulation.rs
@@ -51,22 +51,22 @@
 
     /// A number that tells whether two runs were the same.
     pub fn fingerprint(&self) -> u64 {
-        let mut print = 0xcbf2_9ce4_8422_2325u64;
-        let mut take = |value: u64| {
-            print = (print ^ value).wrapping_mul(0x0100_0000_01b3);
+        let mut hash = 0xcbf2_9ce4_8422_2325u64;
+        let mut mix = |value: u64| {
+            hash = (hash ^ value).wrapping_mul(0x0100_0000_01b3);
         };
-        take(self.events);
+        mix(self.events);
         for second in &self.stats.per_second {
             for count in [second.requests, second.in_time, second.late, second.rejected, second.failed] {
-                take(count);
+                mix(count);
             }
         }
         for step in self.stats.total_latency.iter_recorded() {
-            take(step.value_iterated_to());
-            take(step.count_since_last_iteration());
+            mix(step.value_iterated_to());
+            mix(step.count_since_last_iteration());
         }
-        [self.stats.tries, self.stats.attempts, self.stats.cross_zone_attempts].into_iter().for_each(take);
-        print
+        [self.stats.tries, self.stats.attempts, self.stats.cross_zone_attempts].into_iter().for_each(mix);
+        hash
     }
 }
 
@@ -80,7 +80,7 @@
     plan: &Scenario,
     seed: u64,
     options: SimulationOptions,
-    mut module: impl FnMut(u32) -> Result<Box<dyn BalancerSet>, String>,
+    mut balancers: impl FnMut(u32) -> Result<Box<dyn BalancerSet>, String>,
 ) -> Result<SimulationResult, String> {
     let world = World::sample(plan, seed);
     let timeline = Timeline::new(&world, START);
@@ -93,32 +93,32 @@
     let common = Arc::new(Common { world, timeline, tick: options.tick, end });
     let mut shards = Vec::new();
     for zone in 0..zones {
-        shards.push(Shard::new(common.clone(), zone, module(zone)?));
+        shards.push(Shard::new(common.clone(), zone, balancers(zone)?));
     }
-    let shards = drive(shards, lookahead, stop, options.threads.clamp(1, zones as usize));
-    let mut whole: Option<(RunStats, InvariantChecker)> = None;
+    let shards = run_shards(shards, lookahead, stop, options.threads.clamp(1, zones as usize));
+    let mut merged: Option<(RunStats, InvariantChecker)> = None;
     let (mut events, mut servers_up) = (0, (0, 0));
     for shard in shards {
         if let Some(problem) = shard.failed {
             return Err(problem);
         }
         events += shard.handled;
-        let (up, slow) = shard.servers_up();
-        servers_up = (servers_up.0 + up, servers_up.1 + slow);
-        match whole.as_mut() {
-            None => whole = Some((shard.tally, shard.ledger)),
+        let (up, congested) = shard.servers_up();
+        servers_up = (servers_up.0 + up, servers_up.1 + congested);
+        match merged.as_mut() {
+            None => merged = Some((shard.tally, shard.ledger)),
             Some((tally, ledger)) => {
                 tally.merge(&shard.tally);
                 ledger.merge(&shard.ledger);
             }
         }
     }
-    let (tally, ledger) = whole.ok_or("no zone")?;
+    let (tally, ledger) = merged.ok_or("no zone")?;
     Ok(SimulationResult { world: common.world.clone(), stats: tally, invariants: ledger, events, servers_up })
 }
 
 /// Plays all zones in spans no longer than a message between them takes.
-fn drive(mut shards: Vec<Shard>, lookahead: Nanos, stop: Nanos, threads: usize) -> Vec<Shard> {
+fn run_shards(mut shards: Vec<Shard>, lookahead: Nanos, stop: Nanos, threads: usize) -> Vec<Shard> {
     if threads <= 1 {
         while let Some(from) = shards.iter().filter_map(Shard::next_at).min().filter(|at| *at < stop) {
             let until = (from + lookahead).min(stop);
@@ -138,13 +138,13 @@
     }
     let zones = shards.len();
     let barrier = Barrier::new(threads);
-    let boxes: Vec<Mutex<Vec<Mail>>> = (0..zones).map(|_| Mutex::default()).collect();
+    let outboxes: Vec<Mutex<Vec<Mail>>> = (0..zones).map(|_| Mutex::default()).collect();
     let next: Vec<Mutex<Option<Nanos>>> = shards.iter().map(|shard| Mutex::new(shard.next_at())).collect();
-    let mut hands: Vec<Vec<(usize, Shard)>> = (0..threads).map(|_| Vec::new()).collect();
+    let mut assignments: Vec<Vec<(usize, Shard)>> = (0..threads).map(|_| Vec::new()).collect();
     for (zone, shard) in shards.into_iter().enumerate() {
-        hands[zone % threads].push((zone, shard));
+        assignments[zone % threads].push((zone, shard));
     }
-    let work = |mut own: Vec<(usize, Shard)>| {
+    let worker = |mut own: Vec<(usize, Shard)>| {
         loop {
             let from = next.iter().filter_map(|at| *at.lock().unwrap_or_else(PoisonError::into_inner)).min();
             // All hands have read the same before any of them plays on.
@@ -153,12 +153,12 @@
             let until = (from + lookahead).min(stop);
             for (zone, shard) in &mut own {
                 shard.play(until);
-                *boxes[*zone].lock().unwrap_or_else(PoisonError::into_inner) =
+                *outboxes[*zone].lock().unwrap_or_else(PoisonError::into_inner) =
                     std::mem::take(&mut shard.mail);
             }
             barrier.wait();
             for (zone, shard) in &mut own {
-                for sender in &boxes {
+                for sender in &outboxes {
                     let mut mail = sender.lock().unwrap_or_else(PoisonError::into_inner);
                     for mail in mail.extract_if(.., |mail| mail.to as usize == *zone) {
                         shard.post(mail.at, mail.what);
@@ -171,7 +171,7 @@
         }
     };
     let mut done: Vec<(usize, Shard)> = thread::scope(|scope| {
-        let running: Vec<_> = hands.into_iter().map(|own| scope.spawn(|| work(own))).collect();
+        let running: Vec<_> = assignments.into_iter().map(|own| scope.spawn(|| worker(own))).collect();
         running.into_iter().filter_map(|hand| hand.join().ok()).flatten().collect()
     });
     done.sort_by_key(|(zone, _)| *zone);
--- a/model/src/slab.rs
+++ b/model/src/slab.rs
@@ -2,69 +2,69 @@
 
 /// A table whose keys hold a place and a generation.
 pub struct Slab<T> {
-    places: Vec<(u32, Option<T>)>,
+    entries: Vec<(u32, Option<T>)>,
     free: Vec<u32>,
 }
 
 impl<T> Default for Slab<T> {
     fn default() -> Self {
-        Self { places: Vec::new(), free: Vec::new() }
+        Self { entries: Vec::new(), free: Vec::new() }
     }
 }
 
 /// Bits of a key that hold the place.
-const PLACE: u32 = 28;
+const INDEX_BITS: u32 = 28;
 
 impl<T> Slab<T> {
     /// Puts a thing in and tells its key.
-    pub fn insert(&mut self, thing: T) -> u64 {
+    pub fn insert(&mut self, value: T) -> u64 {
         match self.free.pop() {
-            Some(place) => {
-                let (generation, slot) = &mut self.places[place as usize];
-                *slot = Some(thing);
-                key(place, *generation)
+            Some(index) => {
+                let (generation, slot) = &mut self.entries[index as usize];
+                *slot = Some(value);
+                key(index, *generation)
             }
             None => {
-                self.places.push((0, Some(thing)));
-                key(self.places.len() as u32 - 1, 0)
+                self.entries.push((0, Some(value)));
+                key(self.entries.len() as u32 - 1, 0)
             }
         }
     }
 
     /// The thing of this key, unless it has gone.
-    pub fn get(&self, of: u64) -> Option<&T> {
-        let (generation, slot) = self.places.get(place(of))?;
-        slot.as_ref().filter(|_| key(place(of) as u32, *generation) == of)
+    pub fn get(&self, target: u64) -> Option<&T> {
+        let (generation, slot) = self.entries.get(index(target))?;
+        slot.as_ref().filter(|_| key(index(target) as u32, *generation) == target)
     }
 
     /// See [`Slab::get`].
-    pub fn get_mut(&mut self, of: u64) -> Option<&mut T> {
-        let (generation, slot) = self.places.get_mut(place(of))?;
-        if key(place(of) as u32, *generation) == of { slot.as_mut() } else { None }
+    pub fn get_mut(&mut self, target: u64) -> Option<&mut T> {
+        let (generation, slot) = self.entries.get_mut(index(target))?;
+        if key(index(target) as u32, *generation) == target { slot.as_mut() } else { None }
     }
 
     /// Takes a thing out; its key is not used again.
-    pub fn remove(&mut self, of: u64) -> Option<T> {
-        self.get(of)?;
-        let (generation, slot) = &mut self.places[place(of)];
+    pub fn remove(&mut self, target: u64) -> Option<T> {
+        self.get(target)?;
+        let (generation, slot) = &mut self.entries[index(target)];
         *generation += 1;
-        self.free.push(place(of) as u32);
+        self.free.push(index(target) as u32);
         slot.take()
     }
 
     /// Every thing with its key, by place.
     pub fn iter(&self) -> impl Iterator<Item = (u64, &T)> {
-        self.places
+        self.entries
             .iter()
             .enumerate()
-            .filter_map(|(at, (generation, slot))| Some((key(at as u32, *generation), slot.as_ref()?)))
+            .filter_map(|(index, (generation, slot))| Some((key(index as u32, *generation), slot.as_ref()?)))
     }
 }
 
 fn key(place: u32, generation: u32) -> u64 {
-    u64::from(generation) << PLACE | u64::from(place)
+    u64::from(generation) << INDEX_BITS | u64::from(place)
 }
 
-fn place(key: u64) -> usize {
-    (key & ((1 << PLACE) - 1)) as usize
+fn index(key: u64) -> usize {
+    (key & ((1 << INDEX_BITS) - 1)) as usize
 }
--- a/model/src/stats.rs
+++ b/model/src/stats.rs
@@ -9,8 +9,8 @@
 use crate::world::{SECOND, World};
 
 /// Delays are kept from a microsecond to ten minutes, to three digits.
-const MOST_MICROS: u64 = 600_000_000;
-const DIGITS: u8 = 3;
+const MAX_LATENCY_US: u64 = 600_000_000;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// How a client's request ended, over all its tries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -82,8 +82,9 @@
 
 fn histogram() -> Histogram<u64> {
     // The bounds are constants that the library takes; a plain histogram of as many digits grows by itself.
-    Histogram::new_with_bounds(1, MOST_MICROS, DIGITS)
-        .unwrap_or_else(|_| Histogram::new(DIGITS).unwrap_or_else(|_| unreachable!("three digits are fine")))
+    Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS).unwrap_or_else(|_| {
+        Histogram::new(SIGNIFICANT_DIGITS).unwrap_or_else(|_| unreachable!("three digits are fine"))
+    })
 }
 
 impl RunStats {
@@ -104,34 +105,34 @@
     }
 
     /// A request has ended for good.
-    pub fn record(&mut self, world: &World, ask: &ClientRequest, fate: RequestOutcome, now: Nanos) {
-        let class = &world.classes[ask.class];
-        let took = now.saturating_sub(ask.due_at);
-        let in_time = fate == RequestOutcome::Served && took <= class.latency_target;
-        let late = fate == RequestOutcome::Served && !in_time;
-        let earned = match fate {
+    pub fn record(&mut self, world: &World, request: &ClientRequest, outcome: RequestOutcome, now: Nanos) {
+        let class = &world.classes[request.class];
+        let latency = now.saturating_sub(request.due_at);
+        let in_time = outcome == RequestOutcome::Served && latency <= class.latency_target;
+        let late = outcome == RequestOutcome::Served && !in_time;
+        let earned = match outcome {
             RequestOutcome::Served if in_time => class.value,
             RequestOutcome::Served => class.value * class.late_value_share,
             _ => 0.0,
         };
-        let one = OutcomeCounts {
+        let counts = OutcomeCounts {
             requests: 1,
             in_time: in_time.into(),
             late: late.into(),
-            rejected: (fate == RequestOutcome::Rejected).into(),
-            failed: matches!(fate, RequestOutcome::Failed | RequestOutcome::Unreachable).into(),
+            rejected: (outcome == RequestOutcome::Rejected).into(),
+            failed: matches!(outcome, RequestOutcome::Failed | RequestOutcome::Unreachable).into(),
             value: class.value,
             earned_value: earned,
         };
-        let at = (ask.due_at.saturating_sub(self.start) / SECOND) as usize;
+        let at = (request.due_at.saturating_sub(self.start) / SECOND) as usize;
         if self.per_second.len() <= at {
             self.per_second.resize(at + 1, OutcomeCounts::default());
         }
-        self.per_second[at].add(&one);
-        self.per_class[ask.class].add(&one);
-        self.total_latency.saturating_record((took / 1000).max(1));
-        if fate == RequestOutcome::Served {
-            self.served_latency.saturating_record((took / 1000).max(1));
+        self.per_second[at].add(&counts);
+        self.per_class[request.class].add(&counts);
+        self.total_latency.saturating_record((latency / 1000).max(1));
+        if outcome == RequestOutcome::Served {
+            self.served_latency.saturating_record((latency / 1000).max(1));
         }
     }
 
@@ -163,9 +164,9 @@
     pub fn measures(&self, world: &World, skip: usize) -> BTreeMap<String, f64> {
         let total = self.total();
         let share = |part: u64, of: u64| if of > 0 { part as f64 / of as f64 } else { 0.0 };
-        let mut all = BTreeMap::new();
+        let mut measures = BTreeMap::new();
         let mut put = |name: &str, value: f64| {
-            all.insert(name.to_owned(), value);
+            measures.insert(name.to_owned(), value);
         };
         put("asked", total.requests as f64);
         put("served_in_time_share", share(total.in_time, total.requests));
@@ -186,21 +187,21 @@
             put(&format!("worth_share.{}", class.name), counts.earned_value / counts.value.max(1e-9));
         }
         put("worst_10s_worth_share", self.worst_window(10, skip));
-        all
+        measures
     }
 
     /// The least share of the worth earned over any window of so many whole seconds.
     pub fn worst_window(&self, length: usize, skip: usize) -> f64 {
         let seconds = self.per_second.get(skip..).unwrap_or_default();
-        let part = |window: &[OutcomeCounts]| {
+        let earned_share = |window: &[OutcomeCounts]| {
             let (earned, worth) =
                 window.iter().fold((0.0, 0.0), |sum, s| (sum.0 + s.earned_value, sum.1 + s.value));
             if worth > 0.0 { earned / worth } else { 1.0 }
         };
         if seconds.len() <= length {
-            part(seconds)
+            earned_share(seconds)
         } else {
-            seconds.windows(length).map(part).fold(1.0, f64::min)
+            seconds.windows(length).map(earned_share).fold(1.0, f64::min)
         }
     }
 }
--- a/model/src/timeline.rs
+++ b/model/src/timeline.rs
@@ -6,9 +6,9 @@
 use crate::world::{FaultAction, LinkEnd, LinkFault, SECOND, ScheduledFault, World};
 
 /// A draining server goes this long after it began.
-const DRAINS_FOR: Nanos = 2 * SECOND;
+const DRAIN_DURATION: Nanos = 2 * SECOND;
 /// The list tells of a new process this much later than of other changes.
-const FIRST_BOOT: Nanos = SECOND / 2;
+const MIN_START_NOTICE: Nanos = SECOND / 2;
 
 /// The list service as the end of a link: it is in no zone.
 pub const DISCOVERY_END: (LinkEnd, u32) = (LinkEnd::Discovery, u32::MAX);
@@ -96,58 +96,61 @@
         };
         let first = instances.iter().enumerate().map(|(n, i)| member(n, i, Stage::InService, None)).collect();
         let mut changes = Vec::new();
-        let mut tell = |at: Nanos, member: Member| changes.push(ListChange { at, member });
+        let mut add_change = |at: Nanos, member: Member| changes.push(ListChange { at, member });
         // The process that is at a place when a step begins.
-        let at_place = |instances: &[Instance], server: usize, at: Nanos| {
+        let current_instance = |instances: &[Instance], server: usize, at: Nanos| {
             instances.iter().position(|instance| instance.occupies(server, at))
         };
         for step in &steps {
             match step.action {
                 FaultAction::ReplaceServer(server) => {
-                    let Some(number) = at_place(&instances, server, step.at) else { continue };
-                    let (zone, gone) = (instances[number].zone, step.at + DRAINS_FOR);
-                    instances[number].ends_at = Some(gone);
-                    tell(
+                    let Some(number) = current_instance(&instances, server, step.at) else { continue };
+                    let (zone, ends_at) = (instances[number].zone, step.at + DRAIN_DURATION);
+                    instances[number].ends_at = Some(ends_at);
+                    add_change(
                         step.at + world.propagation_delay,
                         member(number, &instances[number], Stage::Draining, None),
                     );
-                    tell(
-                        gone + world.propagation_delay,
+                    add_change(
+                        ends_at + world.propagation_delay,
                         member(number, &instances[number], Stage::Gone, None),
                     );
-                    let next = Instance { server, zone, starts_at: gone, ends_at: None };
+                    let next = Instance { server, zone, starts_at: ends_at, ends_at: None };
                     instances.push(next);
                     let number = instances.len() - 1;
-                    let since = Some(gone);
-                    let told = gone + world.propagation_delay.max(FIRST_BOOT);
-                    tell(told, member(number, &next, Stage::InService, since));
+                    let since = Some(ends_at);
+                    let listed_at = ends_at + world.propagation_delay.max(MIN_START_NOTICE);
+                    add_change(listed_at, member(number, &next, Stage::InService, since));
                 }
                 FaultAction::KillServer(server) => {
-                    let Some(number) = at_place(&instances, server, step.at) else { continue };
+                    let Some(number) = current_instance(&instances, server, step.at) else { continue };
                     let instance = instances[number];
-                    let back = step.until.unwrap_or(Nanos::MAX);
-                    if step.at.saturating_add(world.propagation_delay) < back {
-                        tell(step.at + world.propagation_delay, member(number, &instance, Stage::Gone, None));
+                    let restarts_at = step.until.unwrap_or(Nanos::MAX);
+                    if step.at.saturating_add(world.propagation_delay) < restarts_at {
+                        add_change(
+                            step.at + world.propagation_delay,
+                            member(number, &instance, Stage::Gone, None),
+                        );
                     }
-                    if back != Nanos::MAX {
-                        let told = back + world.propagation_delay.max(FIRST_BOOT);
-                        tell(told, member(number, &instance, Stage::InService, Some(back)));
+                    if restarts_at != Nanos::MAX {
+                        let listed_at = restarts_at + world.propagation_delay.max(MIN_START_NOTICE);
+                        add_change(listed_at, member(number, &instance, Stage::InService, Some(restarts_at)));
                     }
                 }
                 FaultAction::LoseZone(zone, cold) => {
-                    let back = step.until.unwrap_or(Nanos::MAX);
+                    let restarts_at = step.until.unwrap_or(Nanos::MAX);
                     for (number, &instance) in instances.iter().enumerate() {
                         if instance.zone != zone || instance.ends_at.is_some_and(|end| end <= step.at) {
                             continue;
                         }
-                        let missed = step.at.saturating_add(world.failure_detection_delay);
-                        if missed < back {
-                            tell(missed, member(number, &instance, Stage::Gone, None));
+                        let detected_at = step.at.saturating_add(world.failure_detection_delay);
+                        if detected_at < restarts_at {
+                            add_change(detected_at, member(number, &instance, Stage::Gone, None));
                         }
-                        if back != Nanos::MAX && (cold || missed < back) {
-                            let since = cold.then_some(back);
-                            tell(
-                                back + world.propagation_delay,
+                        if restarts_at != Nanos::MAX && (cold || detected_at < restarts_at) {
+                            let since = cold.then_some(restarts_at);
+                            add_change(
+                                restarts_at + world.propagation_delay,
                                 member(number, &instance, Stage::InService, since),
                             );
                         }
@@ -175,11 +178,11 @@
         let mut found = None;
         for step in self.faults.iter().filter(|step| step.is_active(now)) {
             let FaultAction::Link(one, other, one_way, trouble) = step.action else { continue };
-            let forth = matches(one, from) && matches(other, to);
-            let back = !one_way && matches(other, from) && matches(one, to);
+            let forward = matches(one, from) && matches(other, to);
+            let backward = !one_way && matches(other, from) && matches(one, to);
             // A zone's own parties still reach each other when it is cut off from all.
-            let inside = matches!(one, LinkEnd::Zone(_)) && from.1 == to.1 && other == LinkEnd::All;
-            if (forth || back) && !inside {
+            let within_zone = matches!(one, LinkEnd::Zone(_)) && from.1 == to.1 && other == LinkEnd::All;
+            if (forward || backward) && !within_zone {
                 if trouble == LinkFault::Cut {
                     return Some(trouble);
                 }
@@ -214,14 +217,14 @@
 
     /// Whether the list service is silent now, and how much later than usual it tells.
     pub fn discovery_state(&self, now: Nanos) -> (bool, Nanos) {
-        let mut told = (false, 0);
+        let mut state = (false, 0);
         for step in self.faults.iter().filter(|step| step.is_active(now)) {
             match step.action {
-                FaultAction::SilentDiscovery | FaultAction::RubbishDiscovery => told.0 = true,
-                FaultAction::LateDiscovery(late) => told.1 = late.max(told.1),
+                FaultAction::SilentDiscovery | FaultAction::RubbishDiscovery => state.0 = true,
+                FaultAction::LateDiscovery(late) => state.1 = late.max(state.1),
                 _ => {}
             }
         }
-        told
+        state
     }
 }
--- a/model/src/world.rs
+++ b/model/src/world.rs
@@ -275,14 +275,14 @@
 /// Deals whole numbers out by shares, so that they add up.
 fn apportion(total: usize, shares: &[f64]) -> Vec<usize> {
     let sum: f64 = shares.iter().sum();
-    let (mut dealt, mut due) = (0, 0.0);
+    let (mut assigned, mut due) = (0, 0.0);
     shares
         .iter()
         .map(|share| {
             due += share / sum * total as f64;
-            let part = (due.round() as usize).saturating_sub(dealt);
-            dealt += part;
-            part
+            let count = (due.round() as usize).saturating_sub(assigned);
+            assigned += count;
+            count
         })
         .collect()
 }
@@ -307,42 +307,44 @@
         let servers = sample_servers(plan, &rules, work, &mut rng_stream(seed, 1));
         let capacity: f64 = servers.iter().map(|s| s.spec.cores * s.spec.speed).sum();
         // Requests a second that the servers can do, if none of them is ever idle.
-        let most = capacity * SECOND as f64 / work.max(1.0);
+        let capacity_rps = capacity * SECOND as f64 / work.max(1.0);
         let rng = &mut rng_stream(seed, 3);
         let skew = sample_range(rng, plan.load.zone_skew);
-        let mut parts: Vec<f64> = (0..zones).map(|zone| if zone == 0 { 1.0 + skew } else { 1.0 }).collect();
+        let mut zone_weights: Vec<f64> =
+            (0..zones).map(|zone| if zone == 0 { 1.0 + skew } else { 1.0 }).collect();
         // Requests come to nodes: a zone without one gets none.
-        for (zone, part) in parts.iter_mut().enumerate() {
+        for (zone, part) in zone_weights.iter_mut().enumerate() {
             if !nodes.iter().any(|node| node.zone as usize == zone) {
                 *part = 0.0;
             }
         }
-        let sum: f64 = parts.iter().sum();
+        let sum: f64 = zone_weights.iter().sum();
         let load = LoadInfo {
-            rps: plan.load.rps.unwrap_or(most * plan.load.utilisation),
+            rps: plan.load.rps.unwrap_or(capacity_rps * plan.load.utilisation),
             wave_amplitude: sample_range(rng, plan.load.wave_amplitude),
             wave_period: seconds(sample_range(rng, plan.load.wave_period_s)),
-            zone_shares: parts.iter().map(|part| part / sum).collect(),
+            zone_shares: zone_weights.iter().map(|part| part / sum).collect(),
             retry_policy: plan.load.retry_policy,
             max_retries: plan.load.max_retries,
             backoff: millis(sample_range(rng, plan.load.backoff_ms)),
             retry_after_share: sample_range(rng, plan.load.retry_after_share),
             try_timeout_share: sample_range(rng, plan.load.try_timeout_share),
         };
-        let usage: Vec<f64> = plan.tenants.iter().map(|t| t.share * sample_range(rng, t.usage)).collect();
-        let all = usage.iter().sum::<f64>().max(1e-9);
-        let tenants = plan.tenants.iter().zip(&usage).map(|(tenant, usage)| TenantInfo {
+        let tenant_load: Vec<f64> =
+            plan.tenants.iter().map(|t| t.share * sample_range(rng, t.usage)).collect();
+        let total_load = tenant_load.iter().sum::<f64>().max(1e-9);
+        let tenants = plan.tenants.iter().zip(&tenant_load).map(|(tenant, tenant_load)| TenantInfo {
             name: tenant.name.clone(),
-            load_share: usage / all,
-            quota: tenant.share * most,
+            load_share: tenant_load / total_load,
+            quota: tenant.share * capacity_rps,
         });
         let rng = &mut rng_stream(seed, 4);
-        let warm = plan
+        let max_slow_start = plan
             .kinds
             .iter()
             .map(|kind| kind.slow_start_s.from.max(kind.slow_start_s.to))
             .fold(0.0, f64::max);
-        let cold = plan
+        let min_initial_capacity = plan
             .kinds
             .iter()
             .map(|kind| kind.initial_capacity.from.min(kind.initial_capacity.to))
@@ -364,8 +366,8 @@
             rules,
             faults: Vec::new(),
             replicas: plan.registry.replicas as usize,
-            initial_capacity: cold,
-            slow_start_window: seconds(warm),
+            initial_capacity: min_initial_capacity,
+            slow_start_window: seconds(max_slow_start),
         };
         for (n, fault) in (0..).zip(&plan.faults) {
             let steps = world.schedule_fault(fault, &mut rng_stream(seed, 100 + n));
@@ -442,9 +444,9 @@
 
     fn schedule_fault(&self, fault: &Fault, rng: &mut impl Rng) -> Vec<ScheduledFault> {
         let at = sample_range(rng, fault.at_s);
-        let span = fault.duration_s.map(|span| sample_range(rng, span));
+        let duration = fault.duration_s.map(|duration| sample_range(rng, duration));
         let factor = fault.factor.map_or(0.0, |factor| sample_range(rng, factor));
-        let step = fault.interval_s.map_or(0.0, |step| sample_range(rng, step));
+        let interval = fault.interval_s.map_or(0.0, |interval| sample_range(rng, interval));
         let share = fault.share.map(|share| sample_range(rng, share));
         let zone = fault.zone.as_ref().and_then(|name| self.zones.iter().position(|zone| zone == name));
         let pick = |rng: &mut _, prefix: &str, zones: Vec<u32>| -> Vec<usize> {
@@ -463,16 +465,20 @@
             all
         };
         let each = |targets: Vec<usize>, act: &dyn Fn(usize) -> FaultAction| -> Vec<ScheduledFault> {
-            let begin = |n: usize| seconds(at + step * n as f64);
+            let begin = |n: usize| seconds(at + interval * n as f64);
             let made = |(n, target): (usize, usize)| ScheduledFault {
                 at: begin(n),
-                until: span.map(|span| begin(n) + seconds(span)),
+                until: duration.map(|duration| begin(n) + seconds(duration)),
                 action: act(target),
             };
             targets.into_iter().enumerate().map(made).collect()
         };
         let one = |act: FaultAction| {
-            vec![ScheduledFault { at: seconds(at), until: span.map(|span| seconds(at + span)), action: act }]
+            vec![ScheduledFault {
+                at: seconds(at),
+                until: duration.map(|duration| seconds(at + duration)),
+                action: act,
+            }]
         };
         let link = |trouble: LinkFault| {
             let end = |name: &Option<String>| name.as_deref().and_then(|name| self.link_end(name));
@@ -570,18 +576,18 @@
     let handshake = Range::new(730_000.0, 2_300_000.0).interpolate(rng.random());
     let full_tax = Range::new(0.03, 0.15).interpolate(rng.random());
     // Servers of all zones take turns, so that a server's number tells nothing of its zone.
-    let mut turns: Vec<u32> = Vec::new();
+    let mut zone_order: Vec<u32> = Vec::new();
     for (zone, count) in counts.into_iter().enumerate() {
-        turns.extend(std::iter::repeat_n(zone as u32, count));
+        zone_order.extend(std::iter::repeat_n(zone as u32, count));
     }
-    turns.shuffle(rng);
-    let mut within = vec![0usize; zones];
-    let servers = turns.into_iter().zip(kinds).map(|(zone, kind_at)| {
+    zone_order.shuffle(rng);
+    let mut zone_sizes = vec![0usize; zones];
+    let servers = zone_order.into_iter().zip(kinds).map(|(zone, kind_at)| {
         let kind = &plan.kinds[kind_at];
         let cores = f64::from(kind.cores);
         let speed = sample_range(rng, kind.speed);
-        let cell = (within[zone as usize] / group) as u64 * zones as u64 + u64::from(zone);
-        within[zone as usize] += 1;
+        let cell = (zone_sizes[zone as usize] / group) as u64 * zones as u64 + u64::from(zone);
+        zone_sizes[zone as usize] += 1;
         let spec = ServerSpec {
             zone,
             cell,
@@ -612,10 +618,10 @@
 }
 
 fn sample_classes(plan: &Scenario, rng: &mut impl Rng) -> Vec<ClassInfo> {
-    let all: f64 = plan.classes.iter().map(|class| class.share).sum();
-    let made = plan.classes.iter().map(|class| ClassInfo {
+    let total_share: f64 = plan.classes.iter().map(|class| class.share).sum();
+    let classes = plan.classes.iter().map(|class| ClassInfo {
         name: class.name.clone(),
-        share: class.share / all,
+        share: class.share / total_share,
         work: millis(sample_range(rng, class.work_ms)) as f64,
         io_wait: millis(sample_range(rng, class.io_wait_ms)),
         cv: sample_range(rng, class.cv),
@@ -626,5 +632,5 @@
         idempotency: class.idempotency,
         dedup_window: millis(class.dedup_window_ms),
     });
-    made.collect()
+    classes.collect()
 }
