--- a/model/src/shard/mod.rs
+++ b/model/src/shard/mod.rs
@@ -5,9 +5,9 @@
 //! span. The result depends on the plan and the seed alone, not on how many threads play it.
 
 mod driver;
+mod faults;
 mod processes;
 mod servers;
-mod troubles;
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -35,26 +35,26 @@
 /// How long past a request's time its final answer may come.
 pub const ANSWER_SLACK: Nanos = 20 * MS;
 /// Idle connections that a node keeps at most, and how long.
-const MOST_IDLE: usize = 512;
-const IDLE: Nanos = 7 * SECOND;
+const MAX_IDLE_CONNECTIONS: usize = 512;
+const IDLE_TIMEOUT: Nanos = 7 * SECOND;
 /// A connection that is not up by then counts as failed.
 const CONNECT_TIMEOUT: Nanos = 200 * MS;
 /// One that is not up by then is to a machine that says nothing.
-const SILENT: Nanos = 40 * MS;
+const UNREACHABLE_AFTER: Nanos = 40 * MS;
 /// Bytes of a request or an answer on a link that lets so many pass in a second.
-const MESSAGE: f64 = 300.0;
+const MESSAGE_BYTES: f64 = 300.0;
 /// Times the way there and back that a new connection takes before its first request is on the way.
-const HANDSHAKE_WAYS: u64 = 4;
+const HANDSHAKE_ONE_WAY_DELAYS: u64 = 4;
 /// How long the front goes on sending to a dead node.
-const FRONT_NOTICE: Range = Range::new(1.1, 3.9);
+const FRONT_DETECTION_S: Range = Range::new(1.1, 3.9);
 /// A client's way to a node.
-const CLIENT_WAY: Nanos = MS / 2;
+const CLIENT_DELAY: Nanos = MS / 2;
 /// Bits of a job's number that tell the attempt, and those that tell the zone of its node.
 const ATTEMPT_BITS: u32 = 4;
 const ZONE_BITS: u32 = 6;
 
 /// What all zones share.
-pub struct Common {
+pub struct SharedState {
     /// The world.
     pub world: World,
     /// What is known of it beforehand.
@@ -67,169 +67,169 @@
 
 /// A request on its way to a server's process.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Sent {
+pub(crate) struct RequestMessage {
     instance: u32,
     /// The process's life that the connection is to; none for a new connection.
-    life: Option<u64>,
+    server_epoch: Option<u64>,
     job: Job,
     /// Of a keyed one, its key and for how long its repeats are dropped.
     key: Option<(DedupKey, Nanos)>,
 }
 
 #[derive(Clone, Debug)]
-pub(crate) enum What {
+pub(crate) enum SimEvent {
     /// The next request of this zone's clients is due.
-    Due(ClientRequest),
+    RequestDue(ClientRequest),
     /// A client comes again.
-    Again(ClientRequest, u32),
+    Retry(ClientRequest, u32),
     /// A try reaches its node.
-    Taken { id: u64 },
+    TryArrived { id: u64 },
     /// A client gives a try up.
-    GivenUp { id: u64 },
+    ClientTimeout { id: u64 },
     /// A try's account is closed.
-    Closed { id: u64 },
+    TryExpired { id: u64 },
     /// An attempt's connection breaks on its way.
-    Broken { id: u64, attempt: u32 },
+    ConnectionReset { id: u64, attempt: u32 },
     /// An attempt has waited long enough.
-    Waited { id: u64, attempt: u32, connect: bool },
+    AttemptTimeout { id: u64, attempt: u32, connect_only: bool },
     /// A node's timer.
-    Timer { node: u32, life: u32, token: u64 },
+    Timer { node: u32, incarnation: u32, token: u64 },
     /// A node is told of changes of the list.
-    Told { node: u32, life: u32 },
+    ListNotification { node: u32, incarnation: u32 },
     /// A node is told of the operator's orders.
-    Ordered { node: u32, life: u32 },
+    ZoneOverrides { node: u32, incarnation: u32 },
     /// A request reaches a server.
-    Offered(Sent),
+    RequestArrived(RequestMessage),
     /// A server learns that an attempt was given up: its connection has closed.
-    Withdrawn { instance: u32, job: u64 },
+    AttemptClosed { instance: u32, job: u64 },
     /// An idle connection to a server has closed.
-    HungUp { instance: u32, life: u64 },
+    IdleClosed { instance: u32, server_epoch: u64 },
     /// Something happens at a server by itself.
-    Wakes { instance: u32 },
+    ServerWakeup { instance: u32 },
     /// A connection has come up, and the request is written.
-    Up { job: u64 },
+    ConnectionUp { job: u64 },
     /// An attempt's end reaches its node.
-    Ended { job: u64, outcome: Outcome, ran: bool, util: Option<f64>, keeps: Option<u64> },
+    AttemptResult { job: u64, outcome: Outcome, ran: bool, util: Option<f64>, kept_epoch: Option<u64> },
     /// A fault begins or ends.
-    Step { step: u32, begins: bool },
+    Fault { fault: u32, begins: bool },
     /// A server's process starts for the first time, or ends for good.
-    Boots { instance: u32 },
+    ServerLifecycle { instance: u32 },
     /// A node's process starts.
-    Starts { node: u32 },
+    NodeStart { node: u32 },
     /// A node's process ends after it was told to.
-    Stops { node: u32 },
+    NodeStop { node: u32 },
     /// A node is let go on.
-    Resumes { node: u32 },
+    NodeResume { node: u32 },
     /// Nodes handle what has come in.
     Tick,
 }
 
 struct Attempt {
     instance: u32,
-    sent: Nanos,
-    out: bool,
-    written: bool,
-    booked: Option<usize>,
+    sent_at: Nanos,
+    in_flight: bool,
+    request_written: bool,
+    checker_index: Option<usize>,
 }
 
-struct Try {
-    ask: ClientRequest,
-    tries: u32,
+struct OpenTry {
+    request: ClientRequest,
+    try_number: u32,
     node: u32,
-    life: u32,
+    incarnation: u32,
     not_after: Nanos,
-    ended: bool,
-    told: bool,
+    answered: bool,
+    client_done: bool,
     attempts: Vec<Attempt>,
 }
 
-struct Idle {
+struct IdleConnection {
     instance: u32,
-    life: u64,
-    since: Nanos,
+    server_epoch: u64,
+    idle_since: Nanos,
 }
 
 struct Node {
-    number: usize,
+    index: usize,
     up: bool,
-    leaving: bool,
+    terminating: bool,
     paused: bool,
-    life: u32,
+    incarnation: u32,
     /// When the front learns that it is dead; none while it is taken for alive.
     avoided_from: Option<Nanos>,
-    cursor: usize,
-    drains: HashMap<u32, Nanos>,
+    list_cursor: usize,
+    drain_notified_at: HashMap<u32, Nanos>,
     /// The last start of each process that it was told of.
-    starts: HashMap<u32, Nanos>,
-    idle: Vec<Idle>,
-    inbox: Vec<What>,
+    known_starts: HashMap<u32, Nanos>,
+    idle_connections: Vec<IdleConnection>,
+    deferred_events: Vec<SimEvent>,
 }
 
 /// A message to another zone.
-pub(crate) struct Mail {
-    pub(crate) to: u32,
+pub(crate) struct OutgoingEvent {
+    pub(crate) zone: u32,
     pub(crate) at: Nanos,
-    pub(crate) what: What,
+    pub(crate) event: SimEvent,
 }
 
-struct Entry {
+struct QueuedEvent {
     at: Nanos,
-    order: u64,
-    what: What,
+    sequence: u64,
+    event: SimEvent,
 }
 
-impl PartialEq for Entry {
+impl PartialEq for QueuedEvent {
     fn eq(&self, other: &Self) -> bool {
-        (self.at, self.order) == (other.at, other.order)
+        (self.at, self.sequence) == (other.at, other.sequence)
     }
 }
 
-impl Eq for Entry {}
+impl Eq for QueuedEvent {}
 
-impl PartialOrd for Entry {
+impl PartialOrd for QueuedEvent {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Entry {
+impl Ord for QueuedEvent {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.at, self.order).cmp(&(other.at, other.order))
+        (self.at, self.sequence).cmp(&(other.at, other.sequence))
     }
 }
 
 /// One zone.
 pub struct Shard {
-    common: Arc<Common>,
+    shared: Arc<SharedState>,
     zone: u32,
     now: Nanos,
     rng: ChaCha12Rng,
-    events: BinaryHeap<Reverse<Entry>>,
-    order: u64,
+    event_queue: BinaryHeap<Reverse<QueuedEvent>>,
+    last_sequence: u64,
     clients: Option<RequestGenerator>,
     nodes: Vec<Node>,
     servers: HashMap<u32, Server>,
-    wakes: HashMap<u32, Nanos>,
+    wakeups: HashMap<u32, Nanos>,
     /// What this zone's groups have seen.
-    keys: DedupTable,
-    silent: bool,
-    tries: Slab<Try>,
-    module: Box<dyn BalancerSet>,
-    pending: Vec<(usize, Event)>,
-    ticking: bool,
+    dedup: DedupTable,
+    unreachable: bool,
+    open_tries: Slab<OpenTry>,
+    balancers: Box<dyn BalancerSet>,
+    pending_events: Vec<(usize, Event)>,
+    tick_scheduled: bool,
     actions: Vec<(usize, Action)>,
-    ended: Vec<(Job, JobOutcome)>,
+    ended_jobs: Vec<(Job, JobOutcome)>,
     /// To other zones.
-    pub(crate) mail: Vec<Mail>,
+    pub(crate) outbox: Vec<OutgoingEvent>,
     /// What this zone's requests come to.
-    pub tally: RunStats,
+    pub stats: RunStats,
     /// What was checked.
-    pub ledger: InvariantChecker,
+    pub invariants: InvariantChecker,
     /// Events so far.
-    pub handled: u64,
+    pub events_processed: u64,
     /// Why the module can't go on.
-    pub failed: Option<String>,
-    front: Nanos,
+    pub error: Option<String>,
+    front_detection_delay: Nanos,
 }
 
 /// A job's number, unique over all zones.
@@ -238,122 +238,124 @@
 }
 
 /// How long a message takes over a link that lets so many bytes pass in a second.
-fn passes_in(rate: f64) -> Nanos {
-    crate::world::seconds(MESSAGE / rate.max(1.0))
+fn transfer_time(rate: f64) -> Nanos {
+    crate::world::seconds(MESSAGE_BYTES / rate.max(1.0))
 }
 
 /// The request and the attempt that a job is of.
-fn of_job(job: u64) -> (u64, usize) {
+fn try_of_job(job: u64) -> (u64, usize) {
     ((job << ZONE_BITS) >> (ZONE_BITS + ATTEMPT_BITS), (job & ((1 << ATTEMPT_BITS) - 1)) as usize)
 }
 
 impl Shard {
     /// A zone before its load starts: its nodes know the list, its servers are warm.
-    pub fn new(common: Arc<Common>, zone: u32, module: Box<dyn BalancerSet>) -> Self {
-        let (world, timeline) = (&common.world, &common.timeline);
+    pub fn new(shared: Arc<SharedState>, zone: u32, balancers: Box<dyn BalancerSet>) -> Self {
+        let (world, timeline) = (&shared.world, &shared.timeline);
         let start = timeline.start;
-        let limits = Tolerances {
+        let tolerances = Tolerances {
             answer_slack: ANSWER_SLACK,
             drain_grace: world.rules.drain_grace,
-            clock_skew: common.tick,
+            clock_skew: shared.tick,
         };
         let mut rng = rng_stream(world.seed, 1000 + u64::from(zone));
-        let front = crate::world::seconds(FRONT_NOTICE.interpolate(rng.random()));
-        let of_zone = |(number, node): (usize, &crate::world::NodeInfo)| {
+        let front_detection_delay = crate::world::seconds(FRONT_DETECTION_S.interpolate(rng.random()));
+        let node_in_zone = |(number, node): (usize, &crate::world::NodeInfo)| {
             (node.zone == zone).then(|| Node {
-                number,
+                index: number,
                 up: false,
-                leaving: false,
+                terminating: false,
                 paused: false,
-                life: 0,
+                incarnation: 0,
                 avoided_from: None,
-                cursor: 0,
-                drains: HashMap::new(),
-                starts: HashMap::new(),
-                idle: Vec::new(),
-                inbox: Vec::new(),
+                list_cursor: 0,
+                drain_notified_at: HashMap::new(),
+                known_starts: HashMap::new(),
+                idle_connections: Vec::new(),
+                deferred_events: Vec::new(),
             })
         };
-        let nodes: Vec<Node> = world.nodes.iter().enumerate().filter_map(of_zone).collect();
-        let share = world.load.zone_shares.get(zone as usize).copied().unwrap_or(0.0);
+        let nodes: Vec<Node> = world.nodes.iter().enumerate().filter_map(node_in_zone).collect();
+        let load_share = world.load.zone_shares.get(zone as usize).copied().unwrap_or(0.0);
         let mut shard = Self {
             zone,
             now: start,
-            events: BinaryHeap::new(),
-            order: 0,
-            clients: (share > 0.0 && !nodes.is_empty())
+            event_queue: BinaryHeap::new(),
+            last_sequence: 0,
+            clients: (load_share > 0.0 && !nodes.is_empty())
                 .then(|| RequestGenerator::for_zone(world, zone, start)),
             nodes,
             servers: HashMap::new(),
-            wakes: HashMap::new(),
-            keys: DedupTable::default(),
-            silent: false,
-            tries: Slab::default(),
-            module,
-            pending: Vec::new(),
-            ticking: false,
+            wakeups: HashMap::new(),
+            dedup: DedupTable::default(),
+            unreachable: false,
+            open_tries: Slab::default(),
+            balancers,
+            pending_events: Vec::new(),
+            tick_scheduled: false,
             actions: Vec::new(),
-            ended: Vec::new(),
-            mail: Vec::new(),
-            tally: RunStats::new(world, start),
-            ledger: InvariantChecker::new(limits, start),
-            handled: 0,
-            failed: None,
-            front,
+            ended_jobs: Vec::new(),
+            outbox: Vec::new(),
+            stats: RunStats::new(world, start),
+            invariants: InvariantChecker::new(tolerances, start),
+            events_processed: 0,
+            error: None,
+            front_detection_delay,
             rng,
-            common: common.clone(),
+            shared: shared.clone(),
         };
-        for (number, instance) in common.timeline.instances.iter().enumerate() {
+        for (number, instance) in shared.timeline.instances.iter().enumerate() {
             if instance.zone != zone {
                 continue;
             }
             let mut server = Server::new(world.servers[instance.server].spec, start);
             if instance.starts_at > 0 {
                 server.stop(start);
-                shard.push(instance.starts_at, What::Boots { instance: number as u32 });
+                shard.schedule(instance.starts_at, SimEvent::ServerLifecycle { instance: number as u32 });
             }
             shard.servers.insert(number as u32, server);
         }
-        for (number, step) in common.timeline.faults.iter().enumerate() {
-            let step_number = number as u32;
-            shard.push(step.at, What::Step { step: step_number, begins: true });
-            if let Some(until) = step.until {
-                shard.push(until, What::Step { step: step_number, begins: false });
+        for (number, fault) in shared.timeline.faults.iter().enumerate() {
+            let fault_index = number as u32;
+            shard.schedule(fault.at, SimEvent::Fault { fault: fault_index, begins: true });
+            if let Some(until) = fault.until {
+                shard.schedule(until, SimEvent::Fault { fault: fault_index, begins: false });
             }
         }
-        let late = |node: usize| {
-            let first = common.timeline.faults.iter().find(|step| step.action == FaultAction::LateNode(node));
-            first.map_or(start, |step| step.at)
+        let node_start = |node: usize| {
+            let first =
+                shared.timeline.faults.iter().find(|fault| fault.action == FaultAction::LateNode(node));
+            first.map_or(start, |fault| fault.at)
         };
         for node in 0..shard.nodes.len() {
-            let at = late(shard.nodes[node].number);
+            let at = node_start(shard.nodes[node].index);
             if at > start {
                 shard.nodes[node].avoided_from = Some(0);
             }
-            shard.push(at, What::Starts { node: node as u32 });
+            shard.schedule(at, SimEvent::NodeStart { node: node as u32 });
         }
-        shard.next_due();
+        shard.schedule_next_request();
         shard
     }
 
     /// When this zone next has something to do.
-    pub fn next_at(&self) -> Option<Nanos> {
-        self.events.peek().map(|Reverse(entry)| entry.at)
+    pub fn next_event_at(&self) -> Option<Nanos> {
+        self.event_queue.peek().map(|Reverse(queued)| queued.at)
     }
 
     /// Plays everything before `until`.
-    pub fn play(&mut self, until: Nanos) {
-        while self.failed.is_none() && self.events.peek().is_some_and(|Reverse(entry)| entry.at < until) {
-            let Some(Reverse(entry)) = self.events.pop() else { break };
-            self.now = entry.at;
-            self.handled += 1;
-            self.happen(entry.what);
+    pub fn run_until(&mut self, until: Nanos) {
+        while self.error.is_none() && self.event_queue.peek().is_some_and(|Reverse(queued)| queued.at < until)
+        {
+            let Some(Reverse(queued)) = self.event_queue.pop() else { break };
+            self.now = queued.at;
+            self.events_processed += 1;
+            self.dispatch(queued.event);
         }
     }
 
     /// Takes mail in. All zones' mail of one span comes in one fixed order.
-    pub(crate) fn post(&mut self, at: Nanos, what: What) {
-        self.push(at, what);
+    pub(crate) fn schedule_remote(&mut self, at: Nanos, event: SimEvent) {
+        self.schedule(at, event);
     }
 
     /// Servers that are up, and those that crowding has turned slow.
@@ -362,149 +364,169 @@
         (up.clone().count(), up.filter(|server| server.is_congested()).count())
     }
 
-    fn push(&mut self, at: Nanos, what: What) {
-        self.order += 1;
-        self.events.push(Reverse(Entry { at: at.max(self.now), order: self.order, what }));
+    fn schedule(&mut self, at: Nanos, event: SimEvent) {
+        self.last_sequence += 1;
+        self.event_queue.push(Reverse(QueuedEvent {
+            at: at.max(self.now),
+            sequence: self.last_sequence,
+            event,
+        }));
     }
 
-    fn send(&mut self, to: u32, at: Nanos, what: What) {
-        if to == self.zone { self.push(at, what) } else { self.mail.push(Mail { to, at, what }) }
+    fn schedule_in_zone(&mut self, zone: u32, at: Nanos, event: SimEvent) {
+        if zone == self.zone {
+            self.schedule(at, event)
+        } else {
+            self.outbox.push(OutgoingEvent { zone, at, event })
+        }
     }
 
     /// One way between two zones, with its jitter, which never makes it shorter than the span between zones.
-    fn way(&mut self, to: u32) -> Nanos {
-        let way = self.common.world.one_way_delay(self.zone, to);
-        way + (way as f64 * self.common.world.jitter * self.rng.random::<f64>()) as Nanos
+    fn delay_to(&mut self, zone: u32) -> Nanos {
+        let delay = self.shared.world.one_way_delay(self.zone, zone);
+        delay + (delay as f64 * self.shared.world.jitter * self.rng.random::<f64>()) as Nanos
     }
 
-    fn next_due(&mut self) {
+    fn schedule_next_request(&mut self) {
         let Some(clients) = self.clients.as_mut() else { return };
-        let ask = clients.next(&self.common.world);
-        if ask.due_at < self.common.end {
-            self.push(ask.due_at, What::Due(ask));
+        let request = clients.next(&self.shared.world);
+        if request.due_at < self.shared.end {
+            self.schedule(request.due_at, SimEvent::RequestDue(request));
         }
     }
 
-    fn happen(&mut self, what: What) {
-        match what {
-            What::Due(ask) => {
-                self.next_due();
-                self.try_once(ask, 0);
+    fn dispatch(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::RequestDue(request) => {
+                self.schedule_next_request();
+                self.start_try(request, 0);
+            }
+            SimEvent::Retry(request, try_number) => self.start_try(request, try_number),
+            SimEvent::TryArrived { id } => self.try_arrived(id),
+            SimEvent::ClientTimeout { id } => self.client_timed_out(id),
+            SimEvent::TryExpired { id } => self.try_expired(id),
+            SimEvent::ConnectionReset { id, attempt } => self.connection_reset(id, attempt),
+            SimEvent::AttemptTimeout { id, attempt, connect_only } => {
+                self.attempt_timed_out(id, attempt, connect_only)
             }
-            What::Again(ask, tries) => self.try_once(ask, tries),
-            What::Taken { id } => self.taken(id),
-            What::GivenUp { id } => self.given_up(id),
-            What::Closed { id } => self.close(id),
-            What::Broken { id, attempt } => self.broken(id, attempt),
-            What::Waited { id, attempt, connect } => self.waited(id, attempt, connect),
-            What::Timer { node, life, token } => {
-                if self.awake(node, life, || What::Timer { node, life, token }) {
-                    self.tell(node, Event::Timer { token });
+            SimEvent::Timer { node, incarnation, token } => {
+                if self.accepts_event(node, incarnation, || SimEvent::Timer { node, incarnation, token }) {
+                    self.notify_balancer(node, Event::Timer { token });
                 }
             }
-            What::Told { node, life } => {
-                if self.awake(node, life, || What::Told { node, life }) {
-                    self.read_list(node);
+            SimEvent::ListNotification { node, incarnation } => {
+                if self.accepts_event(node, incarnation, || SimEvent::ListNotification { node, incarnation })
+                {
+                    self.deliver_list_changes(node);
                 }
             }
-            What::Ordered { node, life } => {
-                if self.awake(node, life, || What::Ordered { node, life }) {
-                    let orders = self.common.timeline.zone_overrides(self.now);
-                    self.tell(node, Event::ZoneOverrides(orders));
+            SimEvent::ZoneOverrides { node, incarnation } => {
+                if self.accepts_event(node, incarnation, || SimEvent::ZoneOverrides { node, incarnation }) {
+                    let overrides = self.shared.timeline.zone_overrides(self.now);
+                    self.notify_balancer(node, Event::ZoneOverrides(overrides));
                 }
             }
-            What::Offered(sent) => self.offered(sent),
-            What::Withdrawn { instance, job } => {
+            SimEvent::RequestArrived(message) => self.request_arrived(message),
+            SimEvent::AttemptClosed { instance, job } => {
                 if let Some(server) = self.servers.get_mut(&instance) {
                     if server.cancel(self.now, job) {
-                        self.keys.job_ended((instance, job), false);
+                        self.dedup.job_ended((instance, job), false);
                     }
                     server.disconnect(self.now);
                 }
-                self.look_after(instance);
+                self.advance_server(instance);
             }
-            What::HungUp { instance, life } => {
-                let server = self.servers.get_mut(&instance).filter(|server| server.epoch() == life);
+            SimEvent::IdleClosed { instance, server_epoch } => {
+                let server = self.servers.get_mut(&instance).filter(|server| server.epoch() == server_epoch);
                 server.into_iter().for_each(|server| server.disconnect(self.now));
             }
-            What::Wakes { instance } => {
-                if self.wakes.get(&instance) == Some(&self.now) {
-                    self.wakes.remove(&instance);
-                    self.look_after(instance);
+            SimEvent::ServerWakeup { instance } => {
+                if self.wakeups.get(&instance) == Some(&self.now) {
+                    self.wakeups.remove(&instance);
+                    self.advance_server(instance);
                 }
             }
-            What::Up { job } => {
-                let (id, attempt) = of_job(job);
-                let open = self.tries.get_mut(id).and_then(|open| open.attempts.get_mut(attempt));
-                open.into_iter().for_each(|attempt| attempt.written = true);
+            SimEvent::ConnectionUp { job } => {
+                let (id, attempt) = try_of_job(job);
+                let attempt =
+                    self.open_tries.get_mut(id).and_then(|open_try| open_try.attempts.get_mut(attempt));
+                attempt.into_iter().for_each(|attempt| attempt.request_written = true);
             }
-            What::Ended { job, outcome, ran, util, keeps } => {
-                self.attempt_ended(job, outcome, ran, util, keeps)
+            SimEvent::AttemptResult { job, outcome, ran, util, kept_epoch } => {
+                self.attempt_result(job, outcome, ran, util, kept_epoch)
             }
-            What::Step { step, begins } => self.step(step as usize, begins),
-            What::Boots { instance } => {
-                let ends = self.common.timeline.instances[instance as usize].ends_at;
+            SimEvent::Fault { fault, begins } => self.apply_fault(fault as usize, begins),
+            SimEvent::ServerLifecycle { instance } => {
+                let ends_at = self.shared.timeline.instances[instance as usize].ends_at;
                 let Some(server) = self.servers.get_mut(&instance) else { return };
-                let over = ends.is_some_and(|end| end <= self.now);
-                let held = if over { server.stop(self.now) } else { server.start(self.now, true) };
-                self.reset(instance, held);
+                let ended = ends_at.is_some_and(|end| end <= self.now);
+                let lost = if ended { server.stop(self.now) } else { server.start(self.now, true) };
+                self.reset_connections(instance, lost);
             }
-            What::Starts { node } => self.start_node(node),
-            What::Stops { node } => {
-                if self.nodes[node as usize].leaving {
+            SimEvent::NodeStart { node } => self.start_node(node),
+            SimEvent::NodeStop { node } => {
+                if self.nodes[node as usize].terminating {
                     self.kill_node(node);
                 }
             }
-            What::Resumes { node } => {
+            SimEvent::NodeResume { node } => {
                 self.nodes[node as usize].paused = false;
-                let inbox = std::mem::take(&mut self.nodes[node as usize].inbox);
-                inbox.into_iter().for_each(|what| self.happen(what));
+                let events = std::mem::take(&mut self.nodes[node as usize].deferred_events);
+                events.into_iter().for_each(|event| self.dispatch(event));
             }
-            What::Tick => self.tick(),
+            SimEvent::Tick => self.tick(),
         }
     }
 
-    fn try_once(&mut self, ask: ClientRequest, tries: u32) {
-        self.tally.tries += 1;
+    fn start_try(&mut self, request: ClientRequest, try_number: u32) {
+        self.stats.tries += 1;
         let now = self.now;
-        let seen = |node: &&Node| !node.leaving && node.avoided_from.is_none_or(|from| now < from);
-        let open: Vec<u32> =
-            (0..).zip(&self.nodes).filter(|(_, node)| seen(node)).map(|(at, _)| at).collect();
-        let node = match open.len() {
+        let is_eligible = |node: &&Node| !node.terminating && node.avoided_from.is_none_or(|from| now < from);
+        let eligible: Vec<u32> =
+            (0..).zip(&self.nodes).filter(|(_, node)| is_eligible(node)).map(|(at, _)| at).collect();
+        let node = match eligible.len() {
             0 => None,
-            count => Some(open[self.rng.random_range(0..count)]),
+            count => Some(eligible[self.rng.random_range(0..count)]),
         };
         let Some(node) = node.filter(|node| self.nodes[*node as usize].up) else {
-            self.client_sees(ask, tries, TryOutcome::Unreachable);
+            self.try_ended(request, try_number, TryOutcome::Unreachable);
             return;
         };
-        let not_after = now + clients::try_timeout(&self.common.world, &ask, now);
-        let life = self.nodes[node as usize].life;
+        let not_after = now + clients::try_timeout(&self.shared.world, &request, now);
+        let incarnation = self.nodes[node as usize].incarnation;
         let attempts = Vec::new();
-        let id =
-            self.tries.insert(Try { ask, tries, node, life, not_after, ended: false, told: false, attempts });
-        let class = &self.common.world.classes[ask.class];
-        self.ledger.request_sent(id, class.idempotency, class.dedup_window, not_after, now);
+        let id = self.open_tries.insert(OpenTry {
+            request,
+            try_number,
+            node,
+            incarnation,
+            not_after,
+            answered: false,
+            client_done: false,
+            attempts,
+        });
+        let class = &self.shared.world.classes[request.class];
+        self.invariants.request_sent(id, class.idempotency, class.dedup_window, not_after, now);
         if self.nodes[node as usize].paused {
-            self.ledger.excuse(id);
+            self.invariants.excuse(id);
         }
-        self.push(now + CLIENT_WAY, What::Taken { id });
-        self.push(not_after, What::GivenUp { id });
-        self.push(not_after + ANSWER_SLACK + self.common.tick, What::Closed { id });
+        self.schedule(now + CLIENT_DELAY, SimEvent::TryArrived { id });
+        self.schedule(not_after, SimEvent::ClientTimeout { id });
+        self.schedule(not_after + ANSWER_SLACK + self.shared.tick, SimEvent::TryExpired { id });
     }
 
-    fn client_sees(&mut self, ask: ClientRequest, tries: u32, seen: TryOutcome) {
-        let world = &self.common.world;
-        match clients::next_retry(world, &ask, tries, seen, self.now, &mut self.rng) {
-            Some(at) => self.push(at, What::Again(ask, tries + 1)),
+    fn try_ended(&mut self, request: ClientRequest, try_number: u32, try_outcome: TryOutcome) {
+        let world = &self.shared.world;
+        match clients::next_retry(world, &request, try_number, try_outcome, self.now, &mut self.rng) {
+            Some(at) => self.schedule(at, SimEvent::Retry(request, try_number + 1)),
             None => {
-                let fate = match seen {
+                let request_outcome = match try_outcome {
                     TryOutcome::Served => RequestOutcome::Served,
                     TryOutcome::Rejected(_) => RequestOutcome::Rejected,
                     TryOutcome::Failed => RequestOutcome::Failed,
                     TryOutcome::Unreachable => RequestOutcome::Unreachable,
                 };
-                self.tally.record(world, &ask, fate, self.now);
+                self.stats.record(world, &request, request_outcome, self.now);
             }
         }
     }
--- a/model/src/shard/processes.rs
+++ b/model/src/shard/processes.rs
@@ -4,145 +4,155 @@
 
 impl Shard {
     pub(super) fn start_node(&mut self, node: u32) {
-        let common = self.common.clone();
-        let number = self.nodes[node as usize].number;
-        let seed = rng_stream(common.world.seed, 10_000 + number as u64).random::<u64>();
-        let known = &mut self.nodes[node as usize];
-        if known.up {
+        let shared = self.shared.clone();
+        let node_index = self.nodes[node as usize].index;
+        let seed = rng_stream(shared.world.seed, 10_000 + node_index as u64).random::<u64>();
+        let node_state = &mut self.nodes[node as usize];
+        if node_state.up {
             return;
         }
-        known.life += 1;
-        (known.up, known.leaving, known.paused, known.avoided_from) = (true, false, false, None);
-        known.idle.clear();
-        known.inbox.clear();
-        let life = known.life;
-        let settings = common.world.settings(self.zone);
-        let seed = seed ^ u64::from(life);
-        if let Err(problem) = self.module.open(node as usize, &settings, seed, self.now) {
-            self.failed = Some(problem);
+        node_state.incarnation += 1;
+        (node_state.up, node_state.terminating, node_state.paused, node_state.avoided_from) =
+            (true, false, false, None);
+        node_state.idle_connections.clear();
+        node_state.deferred_events.clear();
+        let incarnation = node_state.incarnation;
+        let settings = shared.world.settings(self.zone);
+        let seed = seed ^ u64::from(incarnation);
+        if let Err(error) = self.balancers.open(node as usize, &settings, seed, self.now) {
+            self.error = Some(error);
             return;
         }
-        self.tell(node, Event::Start);
-        let orders = common.timeline.zone_overrides(self.now);
-        if !orders.is_empty() {
-            self.tell(node, Event::ZoneOverrides(orders));
+        self.notify_balancer(node, Event::Start);
+        let overrides = shared.timeline.zone_overrides(self.now);
+        if !overrides.is_empty() {
+            self.notify_balancer(node, Event::ZoneOverrides(overrides));
         }
         // It comes with the list as it was when it was last told, and gets what is new when its next word is due.
-        let (members, cursor, drains) = self.list_at(self.now.saturating_sub(SECOND));
-        let known = &mut self.nodes[node as usize];
-        (known.cursor, known.drains) = (cursor, drains);
-        known.starts = members.iter().filter_map(start_of).collect();
-        self.tell(node, Event::BackendList { scope: ListScope::Cached, members: members.clone() });
-        self.tell(node, Event::BackendList { scope: ListScope::Full, members });
-        self.next_word(node);
+        let (members, list_cursor, drain_notified_at) = self.list_at(self.now.saturating_sub(SECOND));
+        let node_state = &mut self.nodes[node as usize];
+        (node_state.list_cursor, node_state.drain_notified_at) = (list_cursor, drain_notified_at);
+        node_state.known_starts = members.iter().filter_map(listed_start).collect();
+        self.notify_balancer(node, Event::BackendList { scope: ListScope::Cached, members: members.clone() });
+        self.notify_balancer(node, Event::BackendList { scope: ListScope::Full, members });
+        self.schedule_list_notification(node);
     }
 
     /// The list as it was then, how many changes are in it, and who drained or was gone.
     pub(super) fn list_at(&self, then: Nanos) -> (Vec<Member>, usize, HashMap<u32, Nanos>) {
-        let timeline = &self.common.timeline;
+        let timeline = &self.shared.timeline;
         let mut members: Vec<Member> = timeline.initial_members.clone();
-        let cursor = timeline.changes.iter().take_while(|change| change.at <= then).count();
-        for change in &timeline.changes[..cursor] {
+        let change_count = timeline.changes.iter().take_while(|change| change.at <= then).count();
+        for change in &timeline.changes[..change_count] {
             match members.iter_mut().find(|member| member.backend == change.member.backend) {
                 Some(member) => *member = change.member,
                 None => members.push(change.member),
             }
         }
         members.retain(|member| member.stage != Stage::Gone);
-        let drains = members.iter().filter(|member| member.stage == Stage::Draining);
-        (members.clone(), cursor, drains.map(|member| (member.backend.0, self.now)).collect())
+        let draining = members.iter().filter(|member| member.stage == Stage::Draining);
+        (members.clone(), change_count, draining.map(|member| (member.backend.0, self.now)).collect())
     }
 
     /// Sees to it that a node is told of the next change.
-    pub(super) fn next_word(&mut self, node: u32) {
-        let Some(change) = self.common.timeline.changes.get(self.nodes[node as usize].cursor) else { return };
+    pub(super) fn schedule_list_notification(&mut self, node: u32) {
+        let Some(change) = self.shared.timeline.changes.get(self.nodes[node as usize].list_cursor) else {
+            return;
+        };
         let spread = self.rng.random_range(0..SECOND / 4);
-        let life = self.nodes[node as usize].life;
-        let (_, late) = self.common.timeline.discovery_state(change.at);
-        self.push(change.at.max(self.now) + late + spread, What::Told { node, life });
+        let incarnation = self.nodes[node as usize].incarnation;
+        let (_, late) = self.shared.timeline.discovery_state(change.at);
+        self.schedule(
+            change.at.max(self.now) + late + spread,
+            SimEvent::ListNotification { node, incarnation },
+        );
     }
 
-    pub(super) fn read_list(&mut self, node: u32) {
+    pub(super) fn deliver_list_changes(&mut self, node: u32) {
         let now = self.now;
-        let common = self.common.clone();
-        let (silent, late) = common.timeline.discovery_state(now);
-        let own = (LinkEnd::Node(self.nodes[node as usize].number), self.zone);
-        let cut = common.timeline.link_fault(now, DISCOVERY_END, own) == Some(LinkFault::Cut);
-        let turned_away = common.timeline.discovery_error_share(now);
-        if silent || cut || (turned_away > 0.0 && self.rng.random::<f64>() < turned_away) {
-            let life = self.nodes[node as usize].life;
-            self.push(now + SECOND / 4, What::Told { node, life });
+        let shared = self.shared.clone();
+        let (silent, late) = shared.timeline.discovery_state(now);
+        let node_end = (LinkEnd::Node(self.nodes[node as usize].index), self.zone);
+        let cut = shared.timeline.link_fault(now, DISCOVERY_END, node_end) == Some(LinkFault::Cut);
+        let error_share = shared.timeline.discovery_error_share(now);
+        if silent || cut || (error_share > 0.0 && self.rng.random::<f64>() < error_share) {
+            let incarnation = self.nodes[node as usize].incarnation;
+            self.schedule(now + SECOND / 4, SimEvent::ListNotification { node, incarnation });
             return;
         }
-        let known = &mut self.nodes[node as usize];
-        let fresh = &common.timeline.changes[known.cursor..];
-        let count = fresh.iter().take_while(|change| change.at + late <= now).count();
-        let members: Vec<Member> = fresh[..count].iter().map(|change| change.member).collect();
-        known.cursor += count;
-        known.starts.extend(members.iter().filter_map(start_of));
+        let node_state = &mut self.nodes[node as usize];
+        let pending = &shared.timeline.changes[node_state.list_cursor..];
+        let count = pending.iter().take_while(|change| change.at + late <= now).count();
+        let members: Vec<Member> = pending[..count].iter().map(|change| change.member).collect();
+        node_state.list_cursor += count;
+        node_state.known_starts.extend(members.iter().filter_map(listed_start));
         for member in &members {
             if member.stage == Stage::InService {
-                known.drains.remove(&member.backend.0);
+                node_state.drain_notified_at.remove(&member.backend.0);
             } else {
-                known.drains.entry(member.backend.0).or_insert(now);
+                node_state.drain_notified_at.entry(member.backend.0).or_insert(now);
             }
         }
         if !members.is_empty() {
-            self.tell(node, Event::BackendList { scope: ListScope::Changes, members });
+            self.notify_balancer(node, Event::BackendList { scope: ListScope::Changes, members });
         }
-        self.next_word(node);
+        self.schedule_list_notification(node);
     }
 
     pub(super) fn kill_node(&mut self, node: u32) {
         let now = self.now;
-        let known = &mut self.nodes[node as usize];
-        (known.up, known.leaving, known.paused) = (false, false, false);
-        known.avoided_from = Some(known.avoided_from.unwrap_or(now + self.front));
-        known.inbox.clear();
-        let idle = std::mem::take(&mut known.idle);
-        self.module.close(node as usize);
-        self.pending.retain(|(to, _)| *to != node as usize);
-        for idle in idle {
-            let zone = self.common.timeline.instances[idle.instance as usize].zone;
-            let way = self.way(zone);
-            self.send(zone, now + way, What::HungUp { instance: idle.instance, life: idle.life });
+        let node_state = &mut self.nodes[node as usize];
+        (node_state.up, node_state.terminating, node_state.paused) = (false, false, false);
+        node_state.avoided_from = Some(node_state.avoided_from.unwrap_or(now + self.front_detection_delay));
+        node_state.deferred_events.clear();
+        let idle_connections = std::mem::take(&mut node_state.idle_connections);
+        self.balancers.close(node as usize);
+        self.pending_events.retain(|(to, _)| *to != node as usize);
+        for idle in idle_connections {
+            let zone = self.shared.timeline.instances[idle.instance as usize].zone;
+            let delay = self.delay_to(zone);
+            self.schedule_in_zone(
+                zone,
+                now + delay,
+                SimEvent::IdleClosed { instance: idle.instance, server_epoch: idle.server_epoch },
+            );
         }
-        let open: Vec<u64> =
-            self.tries.iter().filter(|(_, open)| open.node == node).map(|(id, _)| id).collect();
-        for id in open {
-            self.ledger.excuse(id);
-            let Some(open) = self.tries.get_mut(id) else { continue };
-            open.ended = true;
-            let told = std::mem::replace(&mut open.told, true);
-            let (ask, tries) = (open.ask, open.tries);
-            let out: Vec<(usize, u32, Option<usize>)> = open
+        let ids: Vec<u64> =
+            self.open_tries.iter().filter(|(_, open_try)| open_try.node == node).map(|(id, _)| id).collect();
+        for id in ids {
+            self.invariants.excuse(id);
+            let Some(open_try) = self.open_tries.get_mut(id) else { continue };
+            open_try.answered = true;
+            let client_done = std::mem::replace(&mut open_try.client_done, true);
+            let (request, try_number) = (open_try.request, open_try.try_number);
+            let in_flight: Vec<(usize, u32, Option<usize>)> = open_try
                 .attempts
                 .iter_mut()
                 .enumerate()
-                .filter(|(_, attempt)| attempt.out)
-                .map(|(number, attempt)| {
-                    attempt.out = false;
-                    (number, attempt.instance, attempt.booked)
+                .filter(|(_, attempt)| attempt.in_flight)
+                .map(|(index, attempt)| {
+                    attempt.in_flight = false;
+                    (index, attempt.instance, attempt.checker_index)
                 })
                 .collect();
-            for (attempt, instance, booked) in out {
-                if let Some(booked) = booked {
-                    self.ledger.attempt_ended(id, booked, true, now);
+            for (attempt, instance, checker_index) in in_flight {
+                if let Some(checker_index) = checker_index {
+                    self.invariants.attempt_ended(id, checker_index, true, now);
                 }
-                let zone = self.common.timeline.instances[instance as usize].zone;
-                let way = self.way(zone);
+                let zone = self.shared.timeline.instances[instance as usize].zone;
+                let delay = self.delay_to(zone);
                 let job = job_id(self.zone, id, attempt);
-                self.send(zone, now + way, What::Withdrawn { instance, job });
+                self.schedule_in_zone(zone, now + delay, SimEvent::AttemptClosed { instance, job });
             }
-            if !told {
-                self.client_sees(ask, tries, TryOutcome::Failed);
+            if !client_done {
+                self.try_ended(request, try_number, TryOutcome::Failed);
             }
-            self.drop_if_done(id);
+            self.remove_if_done(id);
         }
     }
 }
 
 /// The process that a line tells the start of, and when that was.
-fn start_of(member: &Member) -> Option<(u32, Nanos)> {
+fn listed_start(member: &Member) -> Option<(u32, Nanos)> {
     Some((member.backend.0, member.online_since?))
 }
--- a/model/src/shard/servers.rs
+++ b/model/src/shard/servers.rs
@@ -3,87 +3,118 @@
 use super::*;
 
 impl Shard {
-    pub(super) fn offered(&mut self, sent: Sent) {
+    pub(super) fn request_arrived(&mut self, message: RequestMessage) {
         let now = self.now;
-        let common = self.common.clone();
-        let Sent { instance, job, key, .. } = sent;
-        let place = common.timeline.instances[instance as usize];
+        let shared = self.shared.clone();
+        let RequestMessage { instance, job, key, .. } = message;
+        let instance_info = shared.timeline.instances[instance as usize];
         let node = job.sender;
-        let to = common.world.nodes[node as usize].zone;
-        if self.silent {
+        let node_zone = shared.world.nodes[node as usize].zone;
+        if self.unreachable {
             return;
         }
-        self.look_after(instance);
+        self.advance_server(instance);
         let Some(server) = self.servers.get_mut(&instance) else { return };
-        let fresh = sent.life != Some(server.epoch());
-        let life = server.epoch();
-        let ends = |outcome, ran, keeps| What::Ended { job: job.id, outcome, ran, util: None, keeps };
-        if fresh && !server.connect(now) {
-            self.answer(place.server, node, to, ends(Outcome::ConnectFailed, false, None));
+        let new_connection = message.server_epoch != Some(server.epoch());
+        let server_epoch = server.epoch();
+        let result = |outcome, ran, kept_epoch| SimEvent::AttemptResult {
+            job: job.id,
+            outcome,
+            ran,
+            util: None,
+            kept_epoch,
+        };
+        if new_connection && !server.connect(now) {
+            self.send_to_node(
+                instance_info.server,
+                node,
+                node_zone,
+                result(Outcome::ConnectFailed, false, None),
+            );
             return;
         }
-        if fresh {
-            self.answer(place.server, node, to, What::Up { job: job.id });
+        if new_connection {
+            self.send_to_node(instance_info.server, node, node_zone, SimEvent::ConnectionUp { job: job.id });
         }
         let Some(server) = self.servers.get_mut(&instance) else { return };
         if let Some((key, _)) = key
             && server.would_respond(job.failure_draw)
-            && self.keys.is_duplicate(key, now)
+            && self.dedup.is_duplicate(key, now)
         {
-            self.tally.duplicates_dropped += 1;
-            self.answer(place.server, node, to, ends(Outcome::Served, true, Some(life)));
+            self.stats.duplicates_dropped += 1;
+            self.send_to_node(
+                instance_info.server,
+                node,
+                node_zone,
+                result(Outcome::Served, true, Some(server_epoch)),
+            );
             return;
         }
-        let fell = server.has_crashed();
+        let was_crashed = server.has_crashed();
         let cold = server.capacity_share(now) < 1.0;
-        let offer = server.submit(now, job, fresh);
-        let fallen = server.has_crashed() && !fell;
-        let told = server.overloaded_by_informed_senders();
+        let admission = server.submit(now, job, new_connection);
+        let crashed = server.has_crashed() && !was_crashed;
+        let informed = server.overloaded_by_informed_senders();
         if cold {
-            self.ledger.record_check(Rule::ColdSpared);
+            self.invariants.record_check(Rule::ColdSpared);
         }
-        if fallen {
-            self.ledger.server_crashed(&format!("s{}", place.server), told, now);
+        if crashed {
+            self.invariants.server_crashed(&format!("s{}", instance_info.server), informed, now);
         }
-        match offer {
+        match admission {
             Admission::Accepted => {
                 if let Some((key, window)) = key {
-                    self.keys.insert(key, (instance, job.id), window, now);
+                    self.dedup.insert(key, (instance, job.id), window, now);
                 }
             }
-            Admission::Full => self.answer(place.server, node, to, ends(Outcome::Full, false, Some(life))),
-            Admission::Failed => self.answer(place.server, node, to, ends(Outcome::Error, true, Some(life))),
-            Admission::Down => self.answer(place.server, node, to, ends(Outcome::ConnectFailed, false, None)),
+            Admission::Full => self.send_to_node(
+                instance_info.server,
+                node,
+                node_zone,
+                result(Outcome::Full, false, Some(server_epoch)),
+            ),
+            Admission::Failed => self.send_to_node(
+                instance_info.server,
+                node,
+                node_zone,
+                result(Outcome::Error, true, Some(server_epoch)),
+            ),
+            Admission::Down => self.send_to_node(
+                instance_info.server,
+                node,
+                node_zone,
+                result(Outcome::ConnectFailed, false, None),
+            ),
         }
-        self.look_after(instance);
+        self.advance_server(instance);
     }
 
-    pub(super) fn answer(&mut self, server: usize, node: u32, to: u32, what: What) {
-        let mut way = self.way(to);
-        match self.common.timeline.link_fault(
+    pub(super) fn send_to_node(&mut self, server: usize, node: u32, node_zone: u32, event: SimEvent) {
+        let mut delay = self.delay_to(node_zone);
+        match self.shared.timeline.link_fault(
             self.now,
             (LinkEnd::Server(server), self.zone),
-            (LinkEnd::Node(node as usize), to),
+            (LinkEnd::Node(node as usize), node_zone),
         ) {
             Some(LinkFault::Cut) => return,
-            Some(LinkFault::Delay(more)) => way += more,
-            Some(LinkFault::Throttle(rate)) => way += passes_in(rate),
+            Some(LinkFault::Delay(extra)) => delay += extra,
+            Some(LinkFault::Throttle(rate)) => delay += transfer_time(rate),
             Some(LinkFault::Reset(_)) | None => {}
         }
-        self.send(to, self.now + way, what);
+        self.schedule_in_zone(node_zone, self.now + delay, event);
     }
 
     /// Lets a server's time pass, sends its answers, and sees to it that it wakes again.
-    pub(super) fn look_after(&mut self, instance: u32) {
+    pub(super) fn advance_server(&mut self, instance: u32) {
         let now = self.now;
-        let mut ended = std::mem::take(&mut self.ended);
+        let mut ended_jobs = std::mem::take(&mut self.ended_jobs);
         let Some(server) = self.servers.get_mut(&instance) else { return };
-        server.advance(now, &mut ended);
-        let life = server.epoch();
+        server.advance(now, &mut ended_jobs);
+        let server_epoch = server.epoch();
         let reports = server.spec().reporting.is_some();
-        for (job, end) in ended.drain(..) {
-            self.keys.job_ended((instance, job.id), end == JobOutcome::Served);
-            let (outcome, ran) = match end {
+        for (job, job_outcome) in ended_jobs.drain(..) {
+            self.dedup.job_ended((instance, job.id), job_outcome == JobOutcome::Served);
+            let (outcome, ran) = match job_outcome {
                 JobOutcome::Served => (Outcome::Served, true),
                 JobOutcome::Error => (Outcome::Error, true),
                 JobOutcome::Dropped => (Outcome::Full, false),
@@ -94,38 +125,49 @@
             } else {
                 None
             };
-            if !self.silent {
-                let what = What::Ended { job: job.id, outcome, ran, util, keeps: Some(life) };
-                self.answer_job(instance, &job, what);
+            if !self.unreachable {
+                let event = SimEvent::AttemptResult {
+                    job: job.id,
+                    outcome,
+                    ran,
+                    util,
+                    kept_epoch: Some(server_epoch),
+                };
+                self.send_job_result(instance, &job, event);
             }
         }
-        self.ended = ended;
+        self.ended_jobs = ended_jobs;
         let next = self.servers.get(&instance).and_then(Server::next_event);
         if let Some(next) = next
-            && self.wakes.get(&instance).is_none_or(|at| next < *at)
+            && self.wakeups.get(&instance).is_none_or(|at| next < *at)
         {
-            self.wakes.insert(instance, next);
-            self.push(next, What::Wakes { instance });
+            self.wakeups.insert(instance, next);
+            self.schedule(next, SimEvent::ServerWakeup { instance });
         }
     }
 
-    pub(super) fn answer_job(&mut self, instance: u32, job: &Job, what: What) {
-        let place = self.common.timeline.instances[instance as usize];
-        let to = self.common.world.nodes[job.sender as usize].zone;
-        self.answer(place.server, job.sender, to, what);
+    pub(super) fn send_job_result(&mut self, instance: u32, job: &Job, event: SimEvent) {
+        let instance_info = self.shared.timeline.instances[instance as usize];
+        let node_zone = self.shared.world.nodes[job.sender as usize].zone;
+        self.send_to_node(instance_info.server, job.sender, node_zone, event);
     }
 
     /// Connections to a process break as it ends: whoever waits for an answer learns that it will not come.
-    pub(super) fn reset(&mut self, instance: u32, held: Vec<Job>) {
-        self.wakes.remove(&instance);
-        held.iter().for_each(|job| self.keys.job_ended((instance, job.id), false));
-        if self.silent {
+    pub(super) fn reset_connections(&mut self, instance: u32, lost: Vec<Job>) {
+        self.wakeups.remove(&instance);
+        lost.iter().for_each(|job| self.dedup.job_ended((instance, job.id), false));
+        if self.unreachable {
             return;
         }
-        for job in held {
-            let what =
-                What::Ended { job: job.id, outcome: Outcome::Reset, ran: true, util: None, keeps: None };
-            self.answer_job(instance, &job, what);
+        for job in lost {
+            let event = SimEvent::AttemptResult {
+                job: job.id,
+                outcome: Outcome::Reset,
+                ran: true,
+                util: None,
+                kept_epoch: None,
+            };
+            self.send_job_result(instance, &job, event);
         }
     }
 }
--- a/model/src/simulation.rs
+++ b/model/src/simulation.rs
@@ -10,7 +10,7 @@
 use crate::balancers::{BalancerSet, LocalBalancers};
 use crate::invariants::InvariantChecker;
 use crate::scenario::Scenario;
-use crate::shard::{ANSWER_SLACK, Common, Mail, Shard};
+use crate::shard::{ANSWER_SLACK, OutgoingEvent, Shard, SharedState};
 use crate::stats::RunStats;
 use crate::timeline::Timeline;
 use crate::world::{SECOND, World};
@@ -90,7 +90,7 @@
     // No message between zones is faster than this.
     let zones = world.zones.len() as u32;
     let lookahead = if zones > 1 { world.cross_zone_delay.max(1) } else { stop };
-    let common = Arc::new(Common { world, timeline, tick: options.tick, end });
+    let common = Arc::new(SharedState { world, timeline, tick: options.tick, end });
     let mut shards = Vec::new();
     for zone in 0..zones {
         shards.push(Shard::new(common.clone(), zone, balancers(zone)?));
@@ -99,17 +99,17 @@
     let mut merged: Option<(RunStats, InvariantChecker)> = None;
     let (mut events, mut servers_up) = (0, (0, 0));
     for shard in shards {
-        if let Some(problem) = shard.failed {
+        if let Some(problem) = shard.error {
             return Err(problem);
         }
-        events += shard.handled;
+        events += shard.events_processed;
         let (up, congested) = shard.servers_up();
         servers_up = (servers_up.0 + up, servers_up.1 + congested);
         match merged.as_mut() {
-            None => merged = Some((shard.tally, shard.ledger)),
+            None => merged = Some((shard.stats, shard.invariants)),
             Some((tally, ledger)) => {
-                tally.merge(&shard.tally);
-                ledger.merge(&shard.ledger);
+                tally.merge(&shard.stats);
+                ledger.merge(&shard.invariants);
             }
         }
     }
@@ -120,17 +120,17 @@
 /// Plays all zones in spans no longer than a message between them takes.
 fn run_shards(mut shards: Vec<Shard>, lookahead: Nanos, stop: Nanos, threads: usize) -> Vec<Shard> {
     if threads <= 1 {
-        while let Some(from) = shards.iter().filter_map(Shard::next_at).min().filter(|at| *at < stop) {
+        while let Some(from) = shards.iter().filter_map(Shard::next_event_at).min().filter(|at| *at < stop) {
             let until = (from + lookahead).min(stop);
-            let mut mail: Vec<Vec<Mail>> = Vec::new();
+            let mut mail: Vec<Vec<OutgoingEvent>> = Vec::new();
             for shard in &mut shards {
-                shard.play(until);
-                mail.push(std::mem::take(&mut shard.mail));
+                shard.run_until(until);
+                mail.push(std::mem::take(&mut shard.outbox));
             }
             for mail in mail.into_iter().flatten() {
-                shards[mail.to as usize].post(mail.at, mail.what);
+                shards[mail.zone as usize].schedule_remote(mail.at, mail.event);
             }
-            if shards.iter().any(|shard| shard.failed.is_some()) {
+            if shards.iter().any(|shard| shard.error.is_some()) {
                 break;
             }
         }
@@ -138,8 +138,9 @@
     }
     let zones = shards.len();
     let barrier = Barrier::new(threads);
-    let outboxes: Vec<Mutex<Vec<Mail>>> = (0..zones).map(|_| Mutex::default()).collect();
-    let next: Vec<Mutex<Option<Nanos>>> = shards.iter().map(|shard| Mutex::new(shard.next_at())).collect();
+    let outboxes: Vec<Mutex<Vec<OutgoingEvent>>> = (0..zones).map(|_| Mutex::default()).collect();
+    let next: Vec<Mutex<Option<Nanos>>> =
+        shards.iter().map(|shard| Mutex::new(shard.next_event_at())).collect();
     let mut assignments: Vec<Vec<(usize, Shard)>> = (0..threads).map(|_| Vec::new()).collect();
     for (zone, shard) in shards.into_iter().enumerate() {
         assignments[zone % threads].push((zone, shard));
@@ -152,19 +153,19 @@
             let Some(from) = from.filter(|at| *at < stop) else { return own };
             let until = (from + lookahead).min(stop);
             for (zone, shard) in &mut own {
-                shard.play(until);
+                shard.run_until(until);
                 *outboxes[*zone].lock().unwrap_or_else(PoisonError::into_inner) =
-                    std::mem::take(&mut shard.mail);
+                    std::mem::take(&mut shard.outbox);
             }
             barrier.wait();
             for (zone, shard) in &mut own {
                 for sender in &outboxes {
                     let mut mail = sender.lock().unwrap_or_else(PoisonError::into_inner);
-                    for mail in mail.extract_if(.., |mail| mail.to as usize == *zone) {
-                        shard.post(mail.at, mail.what);
+                    for mail in mail.extract_if(.., |mail| mail.zone as usize == *zone) {
+                        shard.schedule_remote(mail.at, mail.event);
                     }
                 }
-                let at = if shard.failed.is_some() { Some(stop) } else { shard.next_at() };
+                let at = if shard.error.is_some() { Some(stop) } else { shard.next_event_at() };
                 *next[*zone].lock().unwrap_or_else(PoisonError::into_inner) = at;
             }
             barrier.wait();
