--- a/settings/src/fields.rs
+++ b/settings/src/fields.rs
@@ -1,69 +1,69 @@
-//! Fields of a JSON object, read with plain errors.
+//! Typed access to the fields of a JSON object.
 
 use serde_json::{Map, Value};
 
-/// The fields of a message.
+/// The fields of an object.
 #[derive(Clone, Copy)]
 pub struct Fields<'a> {
-    /// The name of the message or object, for error texts.
+    /// Name of the object, used in error messages.
     pub tag: &'a str,
-    /// Its fields.
+    /// The fields.
     pub map: &'a Map<String, Value>,
 }
 
 impl<'a> Fields<'a> {
-    /// The error text for a field that is absent or no use.
+    /// Error message for a field that is missing or invalid.
     pub fn invalid(&self, field: &str) -> String {
         format!("{}: field {field} is missing or of the wrong type", self.tag)
     }
 
-    /// A field that must be there and not null.
+    /// Returns a field that must be present and not null.
     pub fn required(&self, field: &str) -> Result<&'a Value, String> {
         self.map.get(field).filter(|value| !value.is_null()).ok_or_else(|| self.invalid(field))
     }
 
-    /// A whole number, negative ones included.
+    /// Returns a signed integer.
     pub fn integer(&self, field: &str) -> Result<i64, String> {
         self.required(field)?.as_i64().ok_or_else(|| self.invalid(field))
     }
 
-    /// A whole number from 0; a negative one counts as 0.
+    /// Returns an unsigned integer; negative values count as 0.
     pub fn unsigned(&self, field: &str) -> Result<u64, String> {
         let value = self.required(field)?;
         value.as_u64().or_else(|| value.as_i64().map(|_| 0)).ok_or_else(|| self.invalid(field))
     }
 
-    /// A whole number from 0, or `absent`.
+    /// Returns an unsigned integer, or `default` if the field is absent.
     pub fn unsigned_or(&self, field: &str, default: u64) -> Result<u64, String> {
         if self.map.get(field).is_none_or(Value::is_null) { Ok(default) } else { self.unsigned(field) }
     }
 
-    /// A number.
+    /// Returns a number.
     pub fn number(&self, field: &str) -> Result<f64, String> {
         self.required(field)?.as_f64().ok_or_else(|| self.invalid(field))
     }
 
-    /// A number, or `absent`.
+    /// Returns a number, or `default` if the field is absent.
     pub fn number_or(&self, field: &str, default: f64) -> Result<f64, String> {
         if self.map.get(field).is_none_or(Value::is_null) { Ok(default) } else { self.number(field) }
     }
 
-    /// A text.
+    /// Returns a string.
     pub fn string(&self, field: &str) -> Result<&'a str, String> {
         self.required(field)?.as_str().ok_or_else(|| self.invalid(field))
     }
 
-    /// A truth value.
+    /// Returns a boolean.
     pub fn boolean(&self, field: &str) -> Result<bool, String> {
         self.required(field)?.as_bool().ok_or_else(|| self.invalid(field))
     }
 
-    /// A list of values.
+    /// Returns an array.
     pub fn array(&self, field: &str) -> Result<&'a Vec<Value>, String> {
         self.required(field)?.as_array().ok_or_else(|| self.invalid(field))
     }
 
-    /// An object within this one.
+    /// Returns a nested object.
     pub fn object(&self, field: &'a str) -> Result<Fields<'a>, String> {
         let map = self.required(field)?.as_object().ok_or_else(|| self.invalid(field))?;
         Ok(Fields { tag: field, map })
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,7 +1,6 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
-//! The operators' settings object, from its words to the module's. Every program that embeds brookfield
-//! reads it here.
+//! Parses the settings object of a node, for every program that embeds brookfield.
 
 mod fields;
 
@@ -15,7 +14,7 @@
 
 pub use fields::Fields;
 
-/// The numbers that an instance gives the names of its settings.
+/// Ids of the names used in the settings.
 pub struct NameTable {
     zones: Vec<String>,
     classes: HashMap<String, u32>,
@@ -24,28 +23,28 @@
 }
 
 impl NameTable {
-    /// A zone's number; a name that the settings do not list gets a number past their zones.
+    /// Id of a zone; unknown zones are appended to those of the settings.
     pub fn zone(&mut self, name: &str) -> ZoneId {
         ZoneId(index_or_insert(&mut self.zones, name))
     }
 
-    /// A zone's name, for people.
+    /// Name of a zone, for logs.
     pub fn zone_name(&self, zone: ZoneId) -> &str {
         self.zones.get(zone.0 as usize).map_or("-", String::as_str)
     }
 
-    /// A machine kind's number; a new name gets a new one.
+    /// Id of a machine kind; unknown kinds are appended.
     pub fn kind(&mut self, name: &str) -> u32 {
         index_or_insert(&mut self.kinds, name)
     }
 
-    /// A tenant's number, or none where the request has none or one that the settings do not list.
+    /// Id of a tenant, or `None` if it is absent or not in the settings.
     pub fn tenant(&self, name: Option<&str>) -> Option<u32> {
         let index = name.and_then(|name| self.tenants.iter().position(|known| known == name));
         index.map(|index| index as u32)
     }
 
-    /// A class's number, or none where the settings do not list it.
+    /// Id of a class, or `None` if it is not in the settings.
     pub fn class(&self, name: &str) -> Option<u32> {
         self.classes.get(name).copied()
     }
@@ -65,7 +64,7 @@
 }
 
 fn parse_class(value: &Value) -> Result<(String, ClassSettings), String> {
-    let map = value.as_object().ok_or("settings: classes: not objects")?;
+    let map = value.as_object().ok_or("settings: classes: expected objects")?;
     let fields = Fields { tag: "settings: classes", map };
     let effect = match fields.string("effect")? {
         "repeatable" => Idempotency::Idempotent,
@@ -91,28 +90,28 @@
     Ok((fields.string("name")?.to_owned(), settings))
 }
 
-/// What the settings say of connections, which only a node on real sockets needs.
+/// Connection settings, used only by nodes on real sockets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionSettings {
-    /// A backend closes a connection that has stood idle for this long, or sooner.
+    /// Backends close a connection that has been idle for this long, or sooner.
     pub idle_timeout: Nanos,
-    /// A connection that is not up by then counts as failed.
+    /// Connecting fails after this time.
     pub connect_timeout: Nanos,
 }
 
-/// All that is read from the settings.
+/// Parsed settings object.
 pub struct ParsedSettings {
-    /// What the module is told.
+    /// Settings of the load balancer.
     pub settings: Settings,
-    /// The words for its numbers.
+    /// Ids of the names in the settings.
     pub names: NameTable,
-    /// What goes for connections.
+    /// Connection settings.
     pub connections: ConnectionSettings,
 }
 
-/// Reads the settings; the error names the field.
+/// Parses a settings object. Errors name the field.
 pub fn parse(value: &Value) -> Result<ParsedSettings, String> {
-    let map = value.as_object().ok_or("settings: not an object")?;
+    let map = value.as_object().ok_or("settings: expected an object")?;
     let fields = Fields { tag: "settings", map };
     let zones = string_list(&fields, "zones")?;
     let home_zone = fields.string("az")?;
@@ -121,7 +120,7 @@
     let (class_names, classes): (Vec<_>, Vec<_>) = classes.into_iter().unzip();
     let projects = if map.contains_key("projects") { fields.array("projects")?.as_slice() } else { &[] };
     let tenant = |value: &Value| {
-        let map = value.as_object().ok_or("settings: projects: not objects")?;
+        let map = value.as_object().ok_or("settings: projects: expected objects")?;
         let fields = Fields { tag: "settings: projects", map };
         Ok::<_, String>((fields.string("name")?.to_owned(), fields.number("quota-rps")?))
     };
@@ -152,7 +151,8 @@
             concurrent_attempts: flag("second-copies"),
             probes: flag("probes"),
             cancel: flag("may-cancel"),
-            // Advice is given even where the site says that no client heeds it: it costs nothing, and some do.
+            // Sent even if the settings say that clients ignore it: it costs nothing and some clients honor
+            // it.
             max_retry_after: limits.unsigned_or("max-retry-after-ns", 0)?,
         },
         rules: RuleParameters {
--- a/wirehost/src/main.rs
+++ b/wirehost/src/main.rs
@@ -1,6 +1,6 @@
 #![forbid(unsafe_code)]
-//! Puts brookfield on the simulator's wire: reads batches from standard input, writes replies to standard
-//! output. It translates and decides nothing.
+//! Adapter between brookfield and the simulator's protocol: reads batches of events from standard input and
+//! writes the resulting actions to standard output.
 
 mod wire;
 
@@ -16,26 +16,26 @@
 use serde_json::{Value, json};
 use wire::Line;
 
-/// A request that the module may still name.
-struct Held {
+/// A request that the balancer may still refer to.
+struct OpenRequest {
     name: String,
-    out: u32,
+    attempts_in_flight: u32,
     ended: bool,
 }
 
-/// One instance: the module and the words for its numbers. Nothing in it is shared.
+/// One balancer instance and the names of its ids. Instances share no state.
 struct Instance {
-    node: Balancer,
-    words: NameTable,
+    balancer: Balancer,
+    names: NameTable,
     backends: HashMap<String, BackendId>,
     backend_names: Vec<String>,
     requests: HashMap<String, RequestId>,
-    held: BTreeMap<RequestId, Held>,
+    open_requests: BTreeMap<RequestId, OpenRequest>,
     next_request: u64,
 }
 
 impl Instance {
-    fn backend(&mut self, name: &str) -> BackendId {
+    fn backend_id(&mut self, name: &str) -> BackendId {
         if let Some(&id) = self.backends.get(name) {
             return id;
         }
@@ -45,85 +45,88 @@
         id
     }
 
-    fn members(&mut self, list: &[wire::Entry]) -> Vec<Member> {
+    fn members(&mut self, list: &[wire::ListEntry]) -> Vec<Member> {
         list.iter()
             .map(|entry| Member {
-                backend: self.backend(&entry.backend),
-                zone: self.words.zone(&entry.zone),
-                kind: self.words.kind(&entry.kind),
+                backend: self.backend_id(&entry.backend),
+                zone: self.names.zone(&entry.zone),
+                kind: self.names.kind(&entry.kind),
                 cell: entry.cell,
                 stage: entry.stage,
-                weight: entry.size,
+                weight: entry.weight,
                 online_since: entry.online_since,
             })
             .collect()
     }
 
-    fn request(&mut self, name: &str) -> RequestId {
+    fn add_request(&mut self, name: &str) -> RequestId {
         let id = RequestId(self.next_request);
         self.next_request += 1;
         self.requests.insert(name.to_owned(), id);
-        self.held.insert(id, Held { name: name.to_owned(), out: 0, ended: false });
+        self.open_requests
+            .insert(id, OpenRequest { name: name.to_owned(), attempts_in_flight: 0, ended: false });
         id
     }
 
-    fn update(&mut self, id: RequestId, change: impl FnOnce(&mut Held)) {
-        let Some(held) = self.held.get_mut(&id) else { return };
-        change(held);
-        if held.ended && held.out == 0 {
-            self.requests.remove(&held.name);
-            self.held.remove(&id);
+    fn update_request(&mut self, id: RequestId, change: impl FnOnce(&mut OpenRequest)) {
+        let Some(request) = self.open_requests.get_mut(&id) else { return };
+        change(request);
+        if request.ended && request.attempts_in_flight == 0 {
+            self.requests.remove(&request.name);
+            self.open_requests.remove(&id);
         }
     }
 }
 
 #[derive(Default)]
-struct Link {
+struct Adapter {
     instances: BTreeMap<i64, Instance>,
-    manifests: HashMap<i64, Vec<wire::Entry>>,
+    lists: HashMap<i64, Vec<wire::ListEntry>>,
     now: Nanos,
     reply: String,
     actions: Vec<Action>,
-    warned: bool,
+    warned_unknown: bool,
 }
 
-impl Link {
-    fn write(&mut self, tag: &str, body: Value) {
+impl Adapter {
+    fn write_message(&mut self, tag: &str, body: Value) {
         self.reply.push_str(&json!({ tag: body }).to_string());
         self.reply.push('\n');
     }
 
-    fn handle(&mut self, who: i64, event: Event) {
+    fn handle_event(&mut self, who: i64, event: Event) {
         let Some(instance) = self.instances.get_mut(&who) else { return };
         let mut actions = std::mem::take(&mut self.actions);
-        instance.node.handle(self.now, event, &mut actions);
+        instance.balancer.handle(self.now, event, &mut actions);
         for action in actions.drain(..) {
-            self.act(who, action);
+            self.write_action(who, action);
         }
         self.actions = actions;
     }
 
-    fn act(&mut self, who: i64, action: Action) {
+    fn write_action(&mut self, who: i64, action: Action) {
         let Some(instance) = self.instances.get_mut(&who) else { return };
-        let name =
-            |instance: &Instance, id| instance.held.get(&id).map_or(String::new(), |held| held.name.clone());
+        let name = |instance: &Instance, id| {
+            instance.open_requests.get(&id).map_or(String::new(), |open| open.name.clone())
+        };
         let backend = |instance: &Instance, id: BackendId| instance.backend_names[id.0 as usize].clone();
         let (tag, body) = match action {
-            // The simulator sends in the very turn.
+            // The simulator sends immediately, so there is no send deadline to pass on.
             Action::Send { request, backend: to, timeout, send_by: _ } => {
-                instance.update(request, |held| held.out += 1);
+                instance.update_request(request, |open| open.attempts_in_flight += 1);
                 let body = json!({"who": who, "request-id": name(instance, request),
                     "backend": backend(instance, to), "max-wait-ns": timeout.unwrap_or(0)});
                 ("PLACE", body)
             }
-            Action::Reject { request, retry_after: pause } => {
-                let body = json!({"who": who, "request-id": name(instance, request), "pause-ns": pause});
-                instance.update(request, |held| held.ended = true);
+            Action::Reject { request, retry_after } => {
+                let body =
+                    json!({"who": who, "request-id": name(instance, request), "pause-ns": retry_after});
+                instance.update_request(request, |open| open.ended = true);
                 ("DECLINE", body)
             }
             Action::Fail { request } => {
                 let body = json!({"who": who, "request-id": name(instance, request)});
-                instance.update(request, |held| held.ended = true);
+                instance.update_request(request, |open| open.ended = true);
                 ("END_FAILED", body)
             }
             Action::Cancel { request, attempt } => {
@@ -135,67 +138,67 @@
             Action::Timer { after, token } => {
                 ("DEFER", json!({"who": who, "from-now-ns": after, "name": token}))
             }
-            // One of these goes with every attempt to a cold backend: they are for a log with a filter.
+            // Omitted: these are emitted with every attempt to a cold backend.
             Action::Log(LogEvent::SlowStart(_)) => return,
-            Action::Log(note) => ("REMARK", json!({"who": who, "note-text": note.to_string()})),
+            Action::Log(event) => ("REMARK", json!({"who": who, "note-text": event.to_string()})),
         };
-        self.write(tag, body);
+        self.write_message(tag, body);
     }
 
-    /// Takes one line in. True when the batch is complete.
-    fn take(&mut self, line: &Line) -> Result<bool, String> {
+    /// Processes one line. Returns true when the batch is complete.
+    fn process_line(&mut self, line: &Line) -> Result<bool, String> {
         let Fields { tag, .. } = line.fields;
         let fields = &line.fields;
         match tag {
             "BATCH" => self.now = fields.unsigned("sim-time-ns")?,
             "GO" => return Ok(true),
             "MANIFEST" => {
-                self.manifests.insert(fields.integer("list")?, wire::entries(fields)?);
+                self.lists.insert(fields.integer("list")?, wire::decode_list(fields)?);
             }
-            "OPEN_INSTANCE" => self.open(fields)?,
+            "OPEN_INSTANCE" => self.open_instance(fields)?,
             "EXIT" => {
                 self.instances.remove(&fields.integer("who")?);
             }
             "FLEET" | "INCOMING" | "SETTLED" | "ACK_FIRST" | "LEFT" | "STATUS_BACK" | "WAKEUP" => {
-                self.event(tag, fields)?;
+                self.process_event(tag, fields)?;
             }
             "NEIGHBOUR_SAYS" => {}
             unknown => {
-                if !std::mem::replace(&mut self.warned, true) {
-                    eprintln!("line {}: skipped an unknown event {unknown}", line.number);
+                if !std::mem::replace(&mut self.warned_unknown, true) {
+                    eprintln!("line {}: skipped an unknown event {unknown}", line.line_number);
                 }
             }
         }
         Ok(false)
     }
 
-    fn open(&mut self, fields: &Fields) -> Result<(), String> {
+    fn open_instance(&mut self, fields: &Fields) -> Result<(), String> {
         let who = fields.integer("who")?;
         let seed = fields.unsigned("nonce64")?;
-        let made = brookfield_settings::parse(fields.required("config")?).and_then(|site| {
-            let node = Balancer::new(site.settings, seed, self.now).map_err(|e| e.to_string())?;
-            Ok((node, site.names))
+        let created = brookfield_settings::parse(fields.required("config")?).and_then(|parsed| {
+            let balancer = Balancer::new(parsed.settings, seed, self.now).map_err(|e| e.to_string())?;
+            Ok((balancer, parsed.names))
         });
-        match made {
-            Ok((node, words)) => {
+        match created {
+            Ok((balancer, names)) => {
                 let instance = Instance {
-                    node,
-                    words,
+                    balancer,
+                    names,
                     backends: HashMap::new(),
                     backend_names: Vec::new(),
                     requests: HashMap::new(),
-                    held: BTreeMap::new(),
+                    open_requests: BTreeMap::new(),
                     next_request: 0,
                 };
                 self.instances.insert(who, instance);
-                self.handle(who, Event::Start);
+                self.handle_event(who, Event::Start);
             }
-            Err(problem) => self.write("DIE", json!({"who": who, "note-text": problem})),
+            Err(error) => self.write_message("DIE", json!({"who": who, "note-text": error})),
         }
         Ok(())
     }
 
-    fn event(&mut self, tag: &str, fields: &Fields) -> Result<(), String> {
+    fn process_event(&mut self, tag: &str, fields: &Fields) -> Result<(), String> {
         let who = fields.integer("who")?;
         let Some(instance) = self.instances.get_mut(&who) else { return Ok(()) };
         let event = match tag {
@@ -211,50 +214,53 @@
                     None => Event::DiscoveryFailed,
                     Some(scope) => {
                         let list = fields.integer("list")?;
-                        let entries = self.manifests.get(&list).ok_or_else(|| fields.invalid("list"))?;
+                        let entries = self.lists.get(&list).ok_or_else(|| fields.invalid("list"))?;
                         Event::BackendList { scope, members: instance.members(entries) }
                     }
                 }
             }
             "INCOMING" => {
                 let class =
-                    instance.words.class(fields.string("band")?).ok_or_else(|| fields.invalid("band"))?;
+                    instance.names.class(fields.string("band")?).ok_or_else(|| fields.invalid("band"))?;
                 let options = fields.unsigned_or("options", 0)?;
-                let hint = fields.unsigned_or("weight-hint-ns", 0)?;
+                let cost_hint = fields.unsigned_or("weight-hint-ns", 0)?;
                 let not_after = fields.unsigned("not-after-ns")?;
                 let name = fields.string("request-id")?;
                 Event::Request(Arrival {
-                    request: instance.request(name),
+                    request: instance.add_request(name),
                     class: ClassId(class),
-                    cost_hint: (options & 1 != 0).then_some(hint),
+                    cost_hint: (options & 1 != 0).then_some(cost_hint),
                     is_retry: options & 2 != 0,
-                    tenant: instance.words.tenant(fields.map.get("org").and_then(Value::as_str)),
+                    tenant: instance.names.tenant(fields.map.get("org").and_then(Value::as_str)),
                     not_after,
                 })
             }
             "SETTLED" => {
-                let ended = fields.boolean("no-more")?;
-                let settlement =
-                    (wire::outcome(fields)?, fields.unsigned("elapsed-ns")?, wire::report(fields)?);
+                let request_ended = fields.boolean("no-more")?;
+                let result = (
+                    wire::decode_outcome(fields)?,
+                    fields.unsigned("elapsed-ns")?,
+                    wire::decode_load_report(fields)?,
+                );
                 let attempt = fields.unsigned("try")? as u32;
                 let Some(&request) = instance.requests.get(fields.string("request-id")?) else {
                     return Ok(());
                 };
-                let (outcome, elapsed, report) = settlement;
+                let (outcome, elapsed, report) = result;
                 let event = Event::AttemptEnded(AttemptResult {
                     request,
                     attempt,
                     outcome,
                     elapsed,
-                    request_ended: ended,
+                    request_ended,
                     report,
                 });
-                // The module answers first: until it has, it may still name this request.
-                self.handle(who, event);
+                // The request is updated after the event is handled, as the actions may refer to it.
+                self.handle_event(who, event);
                 if let Some(instance) = self.instances.get_mut(&who) {
-                    instance.update(request, |held| {
-                        held.out = held.out.saturating_sub(1);
-                        held.ended |= ended;
+                    instance.update_request(request, |open| {
+                        open.attempts_in_flight = open.attempts_in_flight.saturating_sub(1);
+                        open.ended |= request_ended;
                     });
                 }
                 return Ok(());
@@ -266,26 +272,26 @@
                 if tag == "ACK_FIRST" {
                     Event::ResponseStarted { request }
                 } else {
-                    self.handle(who, Event::ClientDisconnected { request });
+                    self.handle_event(who, Event::ClientDisconnected { request });
                     if let Some(instance) = self.instances.get_mut(&who) {
-                        instance.update(request, |held| held.ended = true);
+                        instance.update_request(request, |open| open.ended = true);
                     }
                     return Ok(());
                 }
             }
             "STATUS_BACK" => {
-                let backend = instance.backend(fields.string("backend")?);
+                let backend = instance.backend_id(fields.string("backend")?);
                 let elapsed = fields.unsigned("elapsed-ns")?;
                 Event::ProbeEnded {
                     backend,
-                    outcome: wire::outcome(fields)?,
+                    outcome: wire::decode_outcome(fields)?,
                     elapsed,
-                    report: wire::report(fields)?,
+                    report: wire::decode_load_report(fields)?,
                 }
             }
             _ => Event::Timer { token: fields.unsigned("name")? },
         };
-        self.handle(who, event);
+        self.handle_event(who, event);
         Ok(())
     }
 }
@@ -293,26 +299,26 @@
 fn run() -> Result<(), String> {
     let mut input = io::stdin().lock();
     let mut output = BufWriter::new(io::stdout().lock());
-    let mut link = Link::default();
+    let mut adapter = Adapter::default();
     let mut buffer = String::new();
-    let mut number = 0u64;
+    let mut line_number = 0u64;
     loop {
         buffer.clear();
         let read = input.read_line(&mut buffer).map_err(|e| format!("standard input: {e}"))?;
         if read == 0 {
             return Ok(());
         }
-        number += 1;
+        line_number += 1;
         if buffer.trim().is_empty() {
             continue;
         }
-        let value: Value = serde_json::from_str(&buffer).map_err(|e| format!("line {number}: {e}"))?;
-        let line = Line::new(number, &value)?;
-        if link.take(&line).map_err(|e| format!("line {number}: {e}"))? {
-            link.reply.push_str("{\"YIELD\":{}}\n");
-            let sent = output.write_all(link.reply.as_bytes()).and_then(|()| output.flush());
+        let value: Value = serde_json::from_str(&buffer).map_err(|e| format!("line {line_number}: {e}"))?;
+        let line = Line::new(line_number, &value)?;
+        if adapter.process_line(&line).map_err(|e| format!("line {line_number}: {e}"))? {
+            adapter.reply.push_str("{\"YIELD\":{}}\n");
+            let sent = output.write_all(adapter.reply.as_bytes()).and_then(|()| output.flush());
             sent.map_err(|e| format!("standard output: {e}"))?;
-            link.reply.clear();
+            adapter.reply.clear();
         }
     }
 }
@@ -320,8 +326,8 @@
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(problem) => {
-            eprintln!("brookfield-wirehost: {problem}");
+        Err(error) => {
+            eprintln!("brookfield-wirehost: {error}");
             ExitCode::FAILURE
         }
     }
--- a/wirehost/src/wire.rs
+++ b/wirehost/src/wire.rs
@@ -1,12 +1,12 @@
-//! The wire's lines, read with plain errors.
+//! Decoding of protocol lines.
 
 use brookfield::{LoadReport, Nanos, Outcome, Stage};
 use brookfield_settings::Fields;
 use serde_json::Value;
 
-/// A line of input: an object with one key, its name.
+/// An input line: an object with a single key, the tag of the message.
 pub struct Line<'a> {
-    pub number: u64,
+    pub line_number: u64,
     pub fields: Fields<'a>,
 }
 
@@ -16,12 +16,12 @@
         let object = value.as_object().filter(|object| object.len() == 1).ok_or_else(malformed)?;
         let (tag, body) = object.iter().next().ok_or_else(malformed)?;
         let map = body.as_object().ok_or_else(|| format!("line {number}: {tag}: not an object"))?;
-        Ok(Self { number, fields: Fields { tag, map } })
+        Ok(Self { line_number: number, fields: Fields { tag, map } })
     }
 }
 
-/// The outcome that a message tells.
-pub fn outcome(fields: &Fields) -> Result<Outcome, String> {
+/// Decodes the outcome of an attempt.
+pub fn decode_outcome(fields: &Fields) -> Result<Outcome, String> {
     Ok(match fields.string("disposition")? {
         "S" => Outcome::Served,
         "E" => Outcome::Error,
@@ -35,8 +35,8 @@
     })
 }
 
-/// The load report that a message carries, if any.
-pub fn report(fields: &Fields) -> Result<LoadReport, String> {
+/// Decodes the load report, if there is one.
+pub fn decode_load_report(fields: &Fields) -> Result<LoadReport, String> {
     let Some(usage) = fields.map.get("usage").filter(|usage| !usage.is_null()) else {
         return Ok(LoadReport::default());
     };
@@ -45,24 +45,24 @@
     Ok(LoadReport { util: figure("load_share"), rate: figure("tps"), in_flight: figure("concurrent") })
 }
 
-/// An entry of a list, still in the wire's words.
-pub struct Entry {
+/// An entry of a backend list, with names not yet mapped to ids.
+pub struct ListEntry {
     pub backend: String,
     pub zone: String,
     pub kind: String,
     pub cell: u64,
     pub stage: Stage,
-    pub size: f64,
+    pub weight: f64,
     pub online_since: Option<Nanos>,
 }
 
-pub fn entries(fields: &Fields) -> Result<Vec<Entry>, String> {
+pub fn decode_list(fields: &Fields) -> Result<Vec<ListEntry>, String> {
     let list = fields.array("members-list")?;
     list.iter()
         .map(|value| {
             let map = value.as_object().ok_or_else(|| fields.invalid("members-list"))?;
             let entry = Fields { tag: "MANIFEST", map };
-            Ok(Entry {
+            Ok(ListEntry {
                 backend: entry.string("backend")?.to_owned(),
                 zone: entry.string("hall")?.to_owned(),
                 kind: entry.string("type")?.to_owned(),
@@ -73,7 +73,7 @@
                     "terminated" => Stage::Gone,
                     _ => return Err(entry.invalid("stage-state")),
                 },
-                size: entry.number_or("power-hint", 1.0)?,
+                weight: entry.number_or("power-hint", 1.0)?,
                 online_since: Some(entry.unsigned_or("online-since-ns", 0)?).filter(|&at| at > 0),
             })
         })
