--- a/model/tests/server.rs
+++ b/model/tests/server.rs
@@ -1,4 +1,4 @@
-//! One app server against figures worked out by hand.
+//! The server model against results calculated by hand.
 
 use flaxdale_model::server::*;
 use flaxdale_model::world::{MS, SECOND};
@@ -27,34 +27,34 @@
     }
 }
 
-/// The ends by then, as id, outcome and milliseconds.
-fn ends(server: &mut Server, until: u64) -> Vec<(u64, JobOutcome, u64)> {
-    let mut all = Vec::new();
+/// Id, outcome and time in milliseconds of each job that ends by `until`.
+fn outcomes_until(server: &mut Server, until: u64) -> Vec<(u64, JobOutcome, u64)> {
+    let mut outcomes = Vec::new();
     while let Some(next) = server.next_event().filter(|next| *next <= until) {
         let mut ended = Vec::new();
         server.advance(next, &mut ended);
-        all.extend(ended.into_iter().map(|(job, end)| (job.id, end, next / MS)));
+        outcomes.extend(ended.into_iter().map(|(job, end)| (job.id, end, next / MS)));
     }
     server.advance(until, &mut Vec::new());
-    all
+    outcomes
 }
 
 #[test]
-fn requests_share_the_cores_evenly() {
+fn requests_share_the_cores_equally() {
     let mut server = Server::new(spec(), 0);
-    // Two on two cores take their own time; with four each runs at half speed.
+    // Two requests on two cores run at full speed; four run at half speed.
     for id in 0..4 {
         assert_eq!(server.submit(0, job(id, 10.0 + id as f64), false), Admission::Accepted);
     }
-    // Four at half speed until 20 ms; then three share two cores for 1.5 ms; then two have one each.
-    let told = ends(&mut server, SECOND);
-    let ids: Vec<u64> = told.iter().map(|end| end.0).collect();
-    let times: Vec<u64> = told.iter().map(|end| end.2).collect();
+    // Four run at half speed until 20 ms, three share two cores for 1.5 ms, and then two have a core each.
+    let outcomes = outcomes_until(&mut server, SECOND);
+    let ids: Vec<u64> = outcomes.iter().map(|end| end.0).collect();
+    let times: Vec<u64> = outcomes.iter().map(|end| end.2).collect();
     assert_eq!((ids, times), (vec![0, 1, 2, 3], vec![20, 21, 22, 23]));
 }
 
 #[test]
-fn waits_on_others_hold_a_slot_and_no_core() {
+fn waiting_requests_hold_a_slot_but_no_core() {
     let mut server = Server::new(ServerSpec { cores: 1.0, concurrency: 2, queue_capacity: 1, ..spec() }, 0);
     let waits = Job { io_wait: 100 * MS, ..job(0, 10.0) };
     assert_eq!(server.submit(0, waits, false), Admission::Accepted);
@@ -63,11 +63,11 @@
     assert_eq!(server.submit(10 * MS, job(2, 10.0), false), Admission::Accepted);
     assert_eq!(server.submit(10 * MS, job(3, 10.0), false), Admission::Full);
     let expected = [(1, JobOutcome::Served, 20), (2, JobOutcome::Served, 30), (0, JobOutcome::Served, 110)];
-    assert_eq!(ends(&mut server, SECOND), expected);
+    assert_eq!(outcomes_until(&mut server, SECOND), expected);
 }
 
 #[test]
-fn a_cold_server_ramps_evenly() {
+fn cold_server_ramps_up_linearly() {
     let spec = ServerSpec {
         cores: 1.0,
         initial_capacity: 0.0,
@@ -80,14 +80,14 @@
     assert_eq!(server.capacity_share(5 * SECOND), 0.5);
     // The integral of t / 10 s is 200 ms of work at t = 2 s.
     assert_eq!(server.submit(0, job(0, 200.0), false), Admission::Accepted);
-    assert_eq!(ends(&mut server, 20 * SECOND), [(0, JobOutcome::Served, 2000)]);
-    // Warm, it takes its own time.
+    assert_eq!(outcomes_until(&mut server, 20 * SECOND), [(0, JobOutcome::Served, 2000)]);
+    // At full speed once warm.
     assert_eq!(server.submit(20 * SECOND, job(1, 200.0), false), Admission::Accepted);
-    assert_eq!(ends(&mut server, 30 * SECOND), [(1, JobOutcome::Served, 20_200)]);
+    assert_eq!(outcomes_until(&mut server, 30 * SECOND), [(1, JobOutcome::Served, 20_200)]);
 }
 
 #[test]
-fn a_cold_server_sent_too_much_falls_over_and_stays_down() {
+fn overloaded_cold_server_crashes_and_stays_down() {
     let (warm_after, tip_span) = (100 * SECOND, SECOND);
     let spec = ServerSpec {
         cores: 1.0,
@@ -99,7 +99,7 @@
     };
     let mut server = Server::new(spec, 0);
     server.start(0, true);
-    // 600 ms of work in a second is the budget: three times a fifth of a core.
+    // The budget is 600 ms of work per second: three times a fifth of a core.
     let sent = (0..20).take_while(|id| {
         let at = id * 50 * MS;
         server.advance(at, &mut Vec::new());
@@ -114,8 +114,8 @@
 }
 
 #[test]
-fn crowding_turns_it_slow_until_it_has_rested() {
-    let choke = Congestion {
+fn congestion_slows_the_server_until_it_has_recovered() {
+    let congestion = Congestion {
         queued_per_core: 2.0,
         onset: SECOND,
         slowdown: 4.0,
@@ -127,7 +127,7 @@
         cores: 1.0,
         concurrency: 100,
         queue_capacity: 0,
-        congestion: Some(choke),
+        congestion: Some(congestion),
         thrash_at: 1e9,
         ..spec()
     };
@@ -139,79 +139,90 @@
     assert!(!server.is_congested());
     server.advance(SECOND, &mut Vec::new());
     assert!(server.is_congested());
-    // Half of the 2 s of work is left, four times slower: done at 5 s. It rests from then on.
-    let told = ends(&mut server, 6 * SECOND);
-    assert_eq!((told.len(), told[19].2), (20, 5000));
+    // Half of the 2 s of work is left and runs four times slower until 5 s. Recovery starts then.
+    let outcomes = outcomes_until(&mut server, 6 * SECOND);
+    assert_eq!((outcomes.len(), outcomes[19].2), (20, 5000));
     assert!(server.is_congested());
     server.advance(7 * SECOND, &mut Vec::new());
     assert!(!server.is_congested());
 }
 
 #[test]
-fn faults_slow_it_down_hang_it_and_fail_its_requests() {
+fn faults_slow_down_hang_and_fail_requests() {
     let mut server = Server::new(ServerSpec { cores: 1.0, ..spec() }, 0);
     server.set_fault(0, ServerFault { slowdown: 5.0, ..ServerFault::default() });
     server.submit(0, job(0, 10.0), false);
-    assert_eq!(ends(&mut server, SECOND), [(0, JobOutcome::Served, 50)]);
+    assert_eq!(outcomes_until(&mut server, SECOND), [(0, JobOutcome::Served, 50)]);
     server.set_fault(SECOND, ServerFault { hung: true, ..ServerFault::default() });
     assert_eq!(server.submit(SECOND, job(1, 10.0), false), Admission::Accepted);
-    assert_eq!(ends(&mut server, 9 * SECOND), []);
+    assert_eq!(outcomes_until(&mut server, 9 * SECOND), []);
     server
         .set_fault(9 * SECOND, ServerFault { stolen_cpu: 0.5, failure_rate: 0.5, ..ServerFault::default() });
     assert_eq!(
         server.submit(9 * SECOND, Job { failure_draw: 0.4, ..job(2, 10.0) }, false),
         Admission::Failed
     );
-    assert_eq!(ends(&mut server, 10 * SECOND), [(1, JobOutcome::Served, 9020)]);
+    assert_eq!(outcomes_until(&mut server, 10 * SECOND), [(1, JobOutcome::Served, 9020)]);
 }
 
 #[test]
-fn a_cancel_drops_what_has_not_begun_and_a_stop_loses_all() {
+fn cancel_drops_queued_jobs_and_stop_drops_all() {
     let mut server = Server::new(ServerSpec { cores: 1.0, concurrency: 1, queue_capacity: 2, ..spec() }, 0);
     for id in 0..3 {
         assert_eq!(server.submit(0, job(id, 10.0), false), Admission::Accepted);
     }
-    assert!(!server.cancel(0, 0), "running work goes on");
+    assert!(!server.cancel(0, 0), "running work was cancelled");
     assert!(server.cancel(0, 1));
-    assert_eq!(ends(&mut server, 15 * MS), [(0, JobOutcome::Served, 10)]);
+    assert_eq!(outcomes_until(&mut server, 15 * MS), [(0, JobOutcome::Served, 10)]);
     assert_eq!(server.stop(15 * MS).iter().map(|job| job.id).collect::<Vec<_>>(), [2]);
     assert_eq!(server.next_event(), None);
     assert_eq!(server.submit(16 * MS, job(3, 1.0), false), Admission::Down);
 }
 
 #[test]
-fn what_its_client_has_given_up_is_dropped_before_it_begins() {
+fn expired_jobs_are_dropped_from_the_queue() {
     let mut server = Server::new(ServerSpec { cores: 1.0, concurrency: 1, queue_capacity: 2, ..spec() }, 0);
     server.submit(0, job(0, 100.0), false);
     server.submit(0, Job { not_after: 50 * MS, ..job(1, 10.0) }, false);
-    assert_eq!(ends(&mut server, SECOND), [(0, JobOutcome::Served, 100), (1, JobOutcome::Dropped, 100)]);
+    assert_eq!(
+        outcomes_until(&mut server, SECOND),
+        [(0, JobOutcome::Served, 100), (1, JobOutcome::Dropped, 100)]
+    );
 }
 
 #[test]
-fn its_table_of_connections_has_an_end() {
+fn connections_are_limited_and_cost_work() {
     let mut server =
         Server::new(ServerSpec { max_connections: 2, handshake_work: 5.0 * MS as f64, ..spec() }, 0);
     assert!(server.connect(0) && server.connect(0) && !server.connect(0));
     server.disconnect(0);
     assert!(server.connect(0));
     server.submit(0, job(0, 10.0), true);
-    assert_eq!(ends(&mut server, SECOND), [(0, JobOutcome::Served, 15)], "a new connection is work too");
+    assert_eq!(
+        outcomes_until(&mut server, SECOND),
+        [(0, JobOutcome::Served, 15)],
+        "accepting a connection costs work"
+    );
 }
 
 #[test]
-fn its_load_is_told_late() {
+fn load_reports_are_delayed() {
     let reporting = LoadReporting { period: 100 * MS, delay: 50 * MS, noise: 0.0 };
     let mut server = Server::new(ServerSpec { cores: 1.0, reporting: Some(reporting), ..spec() }, 0);
     server.submit(0, job(0, 1000.0), false);
-    assert_eq!(server.report(50 * MS, 0.0), None, "nothing was measured yet");
-    assert_eq!(server.report(100 * MS, 0.0), Some(0.0), "the last figure holds until the new one is told");
+    assert_eq!(server.report(50 * MS, 0.0), None, "no sample was taken yet");
+    assert_eq!(
+        server.report(100 * MS, 0.0),
+        Some(0.0),
+        "the previous sample is reported until the delay has passed"
+    );
     assert_eq!(server.report(150 * MS, 0.0), Some(0.5));
     assert_eq!(Server::new(spec(), 0).report(SECOND, 0.0), None);
 }
 
-/// Requests of 100 ms that a cold server took in a second, one in 10 ms, and whether those who had been told of its start
-/// pushed it over. `told` says it of each sender by its number.
-fn pushed(tip_multiple: f64, told: impl Fn(u64) -> bool) -> (u64, bool) {
+/// Number of 100 ms requests that a cold server accepts in a second, one every 10 ms, and whether informed
+/// senders overloaded it. `informed` tells whether the sender of a request knew of the server's start.
+fn accepted_by_cold_server(tip_multiple: f64, informed: impl Fn(u64) -> bool) -> (u64, bool) {
     let (warm_after, tip_mean) = (1000 * SECOND, 100.0 * MS as f64);
     let spec = ServerSpec {
         cores: 1.0,
@@ -224,21 +235,26 @@
     };
     let mut server = Server::new(ServerSpec { overload_window: SECOND, ..spec }, 0);
     server.start(5 * SECOND, true);
-    let taken = (0..100).take_while(|id| {
+    let accepted = (0..100).take_while(|id| {
         let at = 5 * SECOND + id * 10 * MS;
-        let told_start = told(*id).then_some(5 * SECOND);
-        server.submit(at, Job { known_start: told_start, ..job(*id, 100.0) }, false) != Admission::Down
+        let known_start = informed(*id).then_some(5 * SECOND);
+        server.submit(at, Job { known_start, ..job(*id, 100.0) }, false) != Admission::Down
     });
-    (taken.count() as u64, server.overloaded_by_informed_senders())
+    (accepted.count() as u64, server.overloaded_by_informed_senders())
 }
 
-/// N requests of mean work in the span, and 2 x root of N + 2 for chance; whose they are decides on the rule.
+/// The bound is N + 2 * sqrt(N) + 2 requests of mean work; only senders that knew of the start violate the
+/// rule.
 #[test]
-fn a_cold_server_falls_past_the_bound_and_the_rule_asks_who_knew() {
-    // Of 0.2 of a core a second N = 2 x multiple: 8 and 7.7 more; 2 and 4.8 more.
-    assert_eq!(pushed(4.0, |_| true), (15, true));
-    assert_eq!(pushed(1.0, |_| true), (6, true));
-    assert_eq!(pushed(4.0, |id| id % 3 > 0), (15, false), "two thirds are not over two thirds");
-    assert_eq!(pushed(4.0, |id| id % 4 > 0), (15, true));
-    assert_eq!(pushed(4.0, |_| false), (15, false));
+fn cold_server_crashes_above_the_bound_and_informed_senders_are_responsible() {
+    // With 0.2 cores, N = 2 * factor: 8 plus 7.7, and 2 plus 4.8.
+    assert_eq!(accepted_by_cold_server(4.0, |_| true), (15, true));
+    assert_eq!(accepted_by_cold_server(1.0, |_| true), (6, true));
+    assert_eq!(
+        accepted_by_cold_server(4.0, |id| id % 3 > 0),
+        (15, false),
+        "exactly two thirds are not enough"
+    );
+    assert_eq!(accepted_by_cold_server(4.0, |id| id % 4 > 0), (15, true));
+    assert_eq!(accepted_by_cold_server(4.0, |_| false), (15, false));
 }
--- a/model/tests/virtual_time.rs
+++ b/model/tests/virtual_time.rs
@@ -1,61 +1,64 @@
-//! A whole fleet in virtual time, on this build's own decisions.
+//! Whole fleets in virtual time with the load balancers of this build.
 
 use flaxdale_model::invariants::RuleReport;
 use flaxdale_model::scenario::{Fault, FaultKind, Idempotency, Range, Scenario};
 use flaxdale_model::simulation::{SimulationOptions, SimulationResult, simulate};
 use flaxdale_model::world::{MS, SECOND, World};
 
-const SPAN: u64 = 20 * SECOND;
+const DURATION: u64 = 20 * SECOND;
 
 fn options() -> SimulationOptions {
-    SimulationOptions { load_duration: SPAN, tick: 0, threads: 1 }
+    SimulationOptions { load_duration: DURATION, tick: 0, threads: 1 }
 }
 
 fn fault(what: FaultKind) -> Fault {
     Fault { duration_s: Some(Range::fixed(6.0)), ..Fault::new(what, Range::fixed(5.0)) }
 }
 
-fn plan(faults: Vec<Fault>) -> Scenario {
-    let mut plan = Scenario { faults, ..Scenario::default() };
-    plan.fleet.zones = ["a", "b", "c"].map(str::to_owned).to_vec();
-    (plan.fleet.nodes, plan.fleet.servers) = (9, 24);
-    plan.validate().expect("a plan that makes sense");
-    plan
+fn scenario(faults: Vec<Fault>) -> Scenario {
+    let mut scenario = Scenario { faults, ..Scenario::default() };
+    scenario.fleet.zones = ["a", "b", "c"].map(str::to_owned).to_vec();
+    (scenario.fleet.nodes, scenario.fleet.servers) = (9, 24);
+    scenario.validate().expect("valid scenario");
+    scenario
 }
 
-fn run(plan: &Scenario, seed: u64) -> SimulationResult {
-    simulate(plan, seed, options()).expect("played")
+fn run(scenario: &Scenario, seed: u64) -> SimulationResult {
+    simulate(scenario, seed, options()).expect("simulation failed")
 }
 
-fn broken(played: &SimulationResult) -> Vec<&RuleReport> {
-    played.invariants.reports().iter().filter(|rule| rule.violated > 0).collect()
+fn violated(result: &SimulationResult) -> Vec<&RuleReport> {
+    result.invariants.reports().iter().filter(|rule| rule.violated > 0).collect()
 }
 
 #[test]
-fn a_calm_fleet_serves_nearly_all_in_time_and_breaks_no_rule() {
-    let played = run(&plan(Vec::new()), 1);
-    let figures = played.measures();
-    assert_eq!(broken(&played), Vec::<&RuleReport>::new());
-    assert!(figures["served_in_time_share"] > 0.99, "{figures:?}");
-    assert!(figures["asked"] > 2000.0, "{figures:?}");
-    assert_eq!(played.invariants.open_requests(), 0, "every account is closed");
+fn fleet_without_faults_serves_in_time_and_violates_no_rule() {
+    let result = run(&scenario(Vec::new()), 1);
+    let measures = result.measures();
+    assert_eq!(violated(&result), Vec::<&RuleReport>::new());
+    assert!(measures["served_in_time_share"] > 0.99, "{measures:?}");
+    assert!(measures["asked"] > 2000.0, "{measures:?}");
+    assert_eq!(result.invariants.open_requests(), 0, "requests are still tracked");
 }
 
 #[test]
-fn the_same_seed_plays_the_same_on_any_number_of_threads_and_another_one_does_not() {
-    let plan = plan(vec![Fault { target: Some("b".into()), cold: true, ..fault(FaultKind::LoseZone) }]);
-    let print = |seed, threads| {
-        simulate(&plan, seed, SimulationOptions { threads, ..options() }).expect("played").fingerprint()
+fn result_depends_on_the_seed_and_not_on_the_number_of_threads() {
+    let scenario =
+        scenario(vec![Fault { target: Some("b".into()), cold: true, ..fault(FaultKind::LoseZone) }]);
+    let fingerprint = |seed, threads| {
+        simulate(&scenario, seed, SimulationOptions { threads, ..options() })
+            .expect("simulation failed")
+            .fingerprint()
     };
-    let first = print(7, 1);
+    let first = fingerprint(7, 1);
     for threads in [1, 2, 3] {
-        assert_eq!(print(7, threads), first, "{threads} threads");
+        assert_eq!(fingerprint(7, threads), first, "{threads} threads");
     }
-    assert_ne!(print(8, 1), first);
+    assert_ne!(fingerprint(8, 1), first);
 }
 
 #[test]
-fn every_trouble_is_lived_through_with_the_rules_kept() {
+fn no_rule_is_violated_under_any_fault() {
     let servers = |what, factor: Option<f64>| Fault {
         share: Some(Range::fixed(0.2)),
         factor: factor.map(Range::fixed),
@@ -69,7 +72,7 @@
     };
     let nodes = |what| Fault { count: Some(2), ..fault(what) };
     let zone = |cold| Fault { target: Some("a".into()), cold, ..fault(FaultKind::LoseZone) };
-    let troubles = [
+    let cases = [
         vec![servers(FaultKind::SlowServer, Some(5.0))],
         vec![servers(FaultKind::HangServer, None)],
         vec![servers(FaultKind::FailServer, Some(0.7))],
@@ -94,114 +97,131 @@
         vec![fault(FaultKind::SilentDiscovery), servers(FaultKind::ReplaceServer, None)],
         vec![Fault { factor: Some(Range::fixed(1.8)), ..fault(FaultKind::Burst) }],
     ];
-    for faults in troubles {
-        let named = format!("{:?}", faults[0].kind);
-        let played = run(&plan(faults), 3);
-        assert_eq!(broken(&played), Vec::<&RuleReport>::new(), "{named}");
-        // The troubles concern a third of the run at most, and a part of the fleet.
-        let served = played.measures()["served_in_time_share"];
-        assert!(served > 0.5, "{named}: {served}");
+    for faults in cases {
+        let kind = format!("{:?}", faults[0].kind);
+        let result = run(&scenario(faults), 3);
+        assert_eq!(violated(&result), Vec::<&RuleReport>::new(), "{kind}");
+        // A fault lasts for at most a third of the run and affects a part of the fleet.
+        let served = result.measures()["served_in_time_share"];
+        assert!(served > 0.5, "{kind}: {served}");
     }
 }
 
 #[test]
-fn a_lost_zone_shows_in_its_seconds_and_not_before() {
-    let lost = run(&plan(vec![Fault { target: Some("a".into()), ..fault(FaultKind::LoseZone) }]), 5);
-    let calm = run(&plan(Vec::new()), 5);
-    let earned = |played: &SimulationResult, from: usize, to: usize| -> f64 {
-        played.stats.per_second[from..to].iter().map(|second| second.earned_value).sum()
+fn lost_zone_reduces_value_only_during_the_fault() {
+    let lost = run(&scenario(vec![Fault { target: Some("a".into()), ..fault(FaultKind::LoseZone) }]), 5);
+    let without_fault = run(&scenario(Vec::new()), 5);
+    let earned = |result: &SimulationResult, from: usize, to: usize| -> f64 {
+        result.stats.per_second[from..to].iter().map(|second| second.earned_value).sum()
     };
-    assert_eq!(earned(&lost, 0, 4), earned(&calm, 0, 4), "the same up to the fault");
-    assert!(earned(&lost, 5, 11) < 0.95 * earned(&calm, 5, 11));
+    assert_eq!(earned(&lost, 0, 4), earned(&without_fault, 0, 4), "results differ before the fault");
+    assert!(earned(&lost, 5, 11) < 0.95 * earned(&without_fault, 5, 11));
 }
 
 #[test]
-fn nodes_that_handle_what_came_once_a_tick_answer_later() {
-    let plan = plan(Vec::new());
-    let ticked = simulate(&plan, 1, SimulationOptions { tick: 5 * MS, ..options() }).expect("played");
-    assert_eq!(broken(&ticked), Vec::<&RuleReport>::new());
-    let (at_once, ticked) = (run(&plan, 1).measures(), ticked.measures());
-    assert!(ticked["latency_p50_ms"] > at_once["latency_p50_ms"], "{at_once:?} {ticked:?}");
+fn batched_event_handling_adds_latency() {
+    let scenario = scenario(Vec::new());
+    let batched =
+        simulate(&scenario, 1, SimulationOptions { tick: 5 * MS, ..options() }).expect("simulation failed");
+    assert_eq!(violated(&batched), Vec::<&RuleReport>::new());
+    let (immediate, batched) = (run(&scenario, 1).measures(), batched.measures());
+    assert!(batched["latency_p50_ms"] > immediate["latency_p50_ms"], "{immediate:?} {batched:?}");
 }
 
 #[test]
-fn a_world_is_drawn_by_its_seed_and_a_further_fault_moves_no_server() {
-    let calm = World::sample(&plan(Vec::new()), 9);
-    let troubled = World::sample(&plan(vec![Fault { count: Some(2), ..fault(FaultKind::KillNode) }]), 9);
+fn world_depends_on_the_seed_and_faults_do_not_change_servers() {
+    let without_fault = World::sample(&scenario(Vec::new()), 9);
+    let with_fault =
+        World::sample(&scenario(vec![Fault { count: Some(2), ..fault(FaultKind::KillNode) }]), 9);
     let sizes = |world: &World| world.servers.iter().map(|s| (s.spec.zone, s.spec.speed)).collect::<Vec<_>>();
-    assert_eq!(sizes(&calm), sizes(&troubled));
-    assert_ne!(sizes(&calm), sizes(&World::sample(&plan(Vec::new()), 10)));
-    assert_eq!(troubled.faults.len(), 2);
-    let all: f64 = calm.load.zone_shares.iter().sum();
+    assert_eq!(sizes(&without_fault), sizes(&with_fault));
+    assert_ne!(sizes(&without_fault), sizes(&World::sample(&scenario(Vec::new()), 10)));
+    assert_eq!(with_fault.faults.len(), 2);
+    let all: f64 = without_fault.load.zone_shares.iter().sum();
     assert!((all - 1.0).abs() < 1e-9);
 }
 
 #[test]
-fn a_plan_that_makes_no_sense_is_told_by_its_key() {
-    let told = |change: &dyn Fn(&mut Scenario)| {
-        let mut plan = Scenario::default();
-        change(&mut plan);
-        plan.validate().expect_err("no sense").key
+fn invalid_scenario_is_reported_with_its_key() {
+    let error_key = |change: &dyn Fn(&mut Scenario)| {
+        let mut scenario = Scenario::default();
+        change(&mut scenario);
+        scenario.validate().expect_err("scenario should be invalid").key
     };
-    assert_eq!(told(&|plan| plan.fleet.zones.clear()), "fleet.zones");
-    assert_eq!(told(&|plan| plan.fleet.nodes = 0), "fleet.nodes");
-    assert_eq!(told(&|plan| plan.fleet.zone_weights = vec![1.0]), "fleet.sizes");
-    assert_eq!(told(&|plan| plan.load.utilisation = f64::MAX), "load.utilisation");
-    assert_eq!(told(&|plan| plan.faults = vec![fault(FaultKind::KillNode)]), "fault[0].who");
-    assert_eq!(told(&|plan| plan.faults = vec![fault(FaultKind::CutLink)]), "fault[0].from");
+    assert_eq!(error_key(&|scenario| scenario.fleet.zones.clear()), "fleet.zones");
+    assert_eq!(error_key(&|scenario| scenario.fleet.nodes = 0), "fleet.nodes");
+    assert_eq!(error_key(&|scenario| scenario.fleet.zone_weights = vec![1.0]), "fleet.sizes");
+    assert_eq!(error_key(&|scenario| scenario.load.utilisation = f64::MAX), "load.utilisation");
+    assert_eq!(error_key(&|scenario| scenario.faults = vec![fault(FaultKind::KillNode)]), "fault[0].who");
+    assert_eq!(error_key(&|scenario| scenario.faults = vec![fault(FaultKind::CutLink)]), "fault[0].from");
     let unknown = Fault { target: Some("n9".into()), ..fault(FaultKind::KillNode) };
-    assert_eq!(told(&|plan| plan.faults = vec![unknown.clone()]), "fault[0].who");
+    assert_eq!(error_key(&|scenario| scenario.faults = vec![unknown.clone()]), "fault[0].who");
     let strong = Fault { count: Some(1), factor: Some(Range::fixed(7.0)), ..fault(FaultKind::FailServer) };
-    assert_eq!(told(&|plan| plan.faults = vec![strong.clone()]), "fault[0].factor");
+    assert_eq!(error_key(&|scenario| scenario.faults = vec![strong.clone()]), "fault[0].factor");
 }
 
-/// Nodes that are cut from the list service go on sending to servers that have gone.
+/// Nodes without discovery keep sending to servers that are gone.
 #[test]
-fn a_cut_from_the_list_service_has_its_price() {
+fn nodes_without_discovery_make_more_attempts() {
     let replaced = Fault { share: Some(Range::fixed(0.5)), ..fault(FaultKind::ReplaceServer) };
     let (at_s, for_s) = (Range::fixed(1.0), None);
     let (from, to) = (Some("*".into()), Some("discovery".into()));
     let cut = Fault { at_s, duration_s: for_s, from, to, ..fault(FaultKind::CutLink) };
-    let attempts = |faults| run(&plan(faults), 2).measures()["attempts_per_request"];
-    let (told, untold) = (attempts(vec![replaced.clone()]), attempts(vec![replaced, cut]));
-    assert!(untold > told + 0.01, "{told} attempts a request, {untold} when nobody is told");
+    let attempts = |faults| run(&scenario(faults), 2).measures()["attempts_per_request"];
+    let (connected, disconnected) = (attempts(vec![replaced.clone()]), attempts(vec![replaced, cut]));
+    assert!(
+        disconnected > connected + 0.01,
+        "{connected} attempts per request, {disconnected} without discovery"
+    );
 }
 
-fn between_all(what: FaultKind, factor: f64) -> Scenario {
-    let mut plan = plan(vec![Fault {
+fn scenario_with_fault_on_all_links(what: FaultKind, factor: f64) -> Scenario {
+    let mut scenario = scenario(vec![Fault {
         from: Some("*".into()),
         to: Some("*".into()),
         factor: Some(Range::fixed(factor)),
         ..fault(what)
     }]);
-    plan.fleet.zones.truncate(1);
-    plan
+    scenario.fleet.zones.truncate(1);
+    scenario
 }
 
 #[test]
-fn a_throttled_link_takes_longer_and_a_reset_one_breaks_attempts() {
-    let calm = run(&between_all(FaultKind::DelayLink, 0.0), 4).measures();
-    // 300 bytes there and 300 back, at 10 kB a second: 60 ms more for nearly a third of the run.
-    let throttled = run(&between_all(FaultKind::ThrottleLink, 10.0), 4).measures();
-    let longer = throttled["latency_p99_ms"] - calm["latency_p99_ms"];
-    assert!(longer > 30.0, "{longer} ms longer");
-    let reset = run(&between_all(FaultKind::ResetLink, 0.9), 4);
-    assert_eq!(broken(&reset), Vec::<&RuleReport>::new());
-    let failed = |figures: &std::collections::BTreeMap<String, f64>| figures["served_in_time_share"];
-    assert!(failed(&reset.measures()) < failed(&calm) - 0.005, "{calm:?} {:?}", reset.measures());
+fn throttled_links_add_latency_and_resets_fail_requests() {
+    let baseline = run(&scenario_with_fault_on_all_links(FaultKind::DelayLink, 0.0), 4).measures();
+    // 300 bytes each way at 10 kB/s add 60 ms, for nearly a third of the run.
+    let throttled = run(&scenario_with_fault_on_all_links(FaultKind::ThrottleLink, 10.0), 4).measures();
+    let added_ms = throttled["latency_p99_ms"] - baseline["latency_p99_ms"];
+    assert!(added_ms > 30.0, "{added_ms} ms added");
+    let reset = run(&scenario_with_fault_on_all_links(FaultKind::ResetLink, 0.9), 4);
+    assert_eq!(violated(&reset), Vec::<&RuleReport>::new());
+    let served_in_time = |figures: &std::collections::BTreeMap<String, f64>| figures["served_in_time_share"];
+    assert!(
+        served_in_time(&reset.measures()) < served_in_time(&baseline) - 0.005,
+        "{baseline:?} {:?}",
+        reset.measures()
+    );
 }
 
 #[test]
-fn a_keyed_repeat_in_its_window_costs_its_group_nothing() {
-    // Connections break while work goes on: its repeat, in the group and the window, finds it known.
-    let with = |class: fn(&mut flaxdale_model::scenario::Class)| {
-        let mut plan = between_all(FaultKind::ResetLink, 0.9).with_defaults();
-        plan.classes.iter_mut().for_each(class);
-        let played = run(&plan, 6);
-        assert_eq!(broken(&played), Vec::<&RuleReport>::new());
-        played.measures()["repeats_dropped"]
+fn only_keyed_repeats_within_the_window_are_deduplicated() {
+    // Connections are reset while work continues; repeats within the group and the window are deduplicated.
+    let duplicates_with = |class: fn(&mut flaxdale_model::scenario::Class)| {
+        let mut scenario = scenario_with_fault_on_all_links(FaultKind::ResetLink, 0.9).with_defaults();
+        scenario.classes.iter_mut().for_each(class);
+        let result = run(&scenario, 6);
+        assert_eq!(violated(&result), Vec::<&RuleReport>::new());
+        result.measures()["repeats_dropped"]
     };
-    assert!(with(|_| {}) > 0.0, "some repeats are known");
-    assert_eq!(with(|class| class.idempotency = Idempotency::Idempotent), 0.0, "and only keyed ones");
-    assert_eq!(with(|class| class.dedup_window_ms = 0.0), 0.0, "and in their window only");
+    assert!(duplicates_with(|_| {}) > 0.0, "no repeat was deduplicated");
+    assert_eq!(
+        duplicates_with(|class| class.idempotency = Idempotency::Idempotent),
+        0.0,
+        "repeats of requests without a key were deduplicated"
+    );
+    assert_eq!(
+        duplicates_with(|class| class.dedup_window_ms = 0.0),
+        0.0,
+        "repeats outside the window were deduplicated"
+    );
 }
