--- a/model/src/balancers.rs
+++ b/model/src/balancers.rs
@@ -1,24 +1,24 @@
-//! The decisions of a zone's nodes, as virtual time calls them.
+//! Interface between the simulation and the load balancers of a zone's nodes.
 
 use brookfield::{Action, Balancer, Event, Nanos};
 use serde_json::Value;
 
-/// What decides for the nodes of one zone. A node is known by its position among them.
+/// The load balancers of one zone's nodes, indexed by node.
 pub trait BalancerSet: Send {
-    /// A node starts; it gets [`Event::Start`] and its first list after this.
+    /// Starts a node. [`Event::Start`] and the first backend list follow.
     fn open(&mut self, node: usize, settings: &Value, seed: u64, now: Nanos) -> Result<(), String>;
 
-    /// A node's process has ended.
+    /// The node's process has ended.
     fn close(&mut self, node: usize);
 
-    /// A node hears something. What it wants is added at once, or at the next [`Module::flush`].
+    /// Handles an event of a node. The resulting actions are appended here or in [`BalancerSet::flush`].
     fn handle(&mut self, node: usize, now: Nanos, event: Event, actions: &mut Vec<(usize, Action)>);
 
-    /// Ends the events of one moment.
+    /// Called after all events of one point in time.
     fn flush(&mut self, now: Nanos, actions: &mut Vec<(usize, Action)>) -> Result<(), String>;
 }
 
-/// This build's own decisions.
+/// Load balancers of this build, run in process.
 #[derive(Default)]
 pub struct LocalBalancers {
     nodes: Vec<Option<Balancer>>,
--- a/model/src/clients.rs
+++ b/model/src/clients.rs
@@ -1,4 +1,4 @@
-//! The clients: when which request comes, how much work it is, and whether and when a client comes again.
+//! Clients: the arrival process, the work of each request, and retries.
 
 use brookfield::Nanos;
 use rand::{Rng, RngExt};
@@ -8,46 +8,46 @@
 use crate::scenario::{Idempotency, RetryPolicy};
 use crate::world::{SECOND, World, rng_stream};
 
-/// Times that a client's wait doubles at most.
+/// Maximum number of times the backoff doubles.
 const MAX_DOUBLINGS: u32 = 6;
-/// One wave of the load, in radians.
+/// One period of the load wave, in radians.
 const WAVE_RADIANS: f64 = std::f64::consts::TAU;
 
 /// A client's request, before its first try.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClientRequest {
-    /// Its number, from 0.
+    /// Sequence number, from 0.
     pub number: u64,
-    /// When it is due.
+    /// When the request is due.
     pub due_at: Nanos,
-    /// The zone whose nodes it comes to.
+    /// Zone whose nodes receive it.
     pub zone: u32,
-    /// Its class.
+    /// Index of its class.
     pub class: usize,
-    /// Whose it is.
+    /// Index of its tenant.
     pub tenant: Option<usize>,
-    /// Work on a standard core, in nanoseconds.
+    /// CPU time on a standard core, in nanoseconds.
     pub work: f64,
-    /// Waits on others.
+    /// Time spent waiting on downstream calls.
     pub io_wait: Nanos,
-    /// Whether its client heeds `Retry-After`.
+    /// Whether the client honors `Retry-After`.
     pub honors_retry_after: bool,
 }
 
-/// How a try ended, as its client saw it.
+/// Outcome of one try, as seen by the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TryOutcome {
     /// Served.
     Served,
-    /// Refused, with the pause that was advised.
+    /// Rejected, with the delay of `Retry-After`.
     Rejected(Nanos),
-    /// Failed, or given up.
+    /// Failed or timed out.
     Failed,
-    /// No connection came about: nobody took it.
+    /// No connection could be established.
     Unreachable,
 }
 
-/// An endless stream of requests, by the world's load. What is asked for can be changed while it runs.
+/// An endless stream of client requests. The load can be changed while it runs.
 pub struct RequestGenerator {
     rng: ChaCha12Rng,
     zone: Option<u32>,
@@ -72,18 +72,18 @@
 }
 
 impl RequestGenerator {
-    /// All clients, from this time on.
+    /// Creates the stream of all clients, from `start` on.
     pub fn new(world: &World, start: Nanos) -> Self {
         Self::with_stream(world, start, 10, None)
     }
 
-    /// Those of one zone, apart from all others: together they ask for what all do.
+    /// Creates the stream of one zone's clients. The streams of all zones add up to the whole load.
     pub fn for_zone(world: &World, zone: u32, start: Nanos) -> Self {
         Self::with_stream(world, start, 20 + u64::from(zone), Some(zone))
     }
 
     fn with_stream(world: &World, start: Nanos, number: u64, zone: Option<u32>) -> Self {
-        // A log-normal distribution of mean 1 with this coefficient of variation.
+        // Log-normal distribution with mean 1 and the given coefficient of variation.
         let spread = |cv: f64| {
             let variance = (1.0 + cv * cv).ln();
             LogNormal::new(-variance / 2.0, variance.sqrt()).ok().filter(|_| cv > 0.0)
@@ -101,17 +101,17 @@
         }
     }
 
-    /// From now on this many times as much is asked for.
+    /// Multiplies the load by `factor` from now on.
     pub fn set_load_factor(&mut self, factor: f64) {
         self.load_factor = factor;
     }
 
-    /// From now on a tenant asks for this many times as much.
+    /// Multiplies the load of a tenant by `factor` from now on.
     pub fn set_tenant_factor(&mut self, tenant: usize, factor: f64) {
         self.tenant_factors.get_mut(tenant).into_iter().for_each(|tenant_factor| *tenant_factor = factor);
     }
 
-    /// Requests a second at a time.
+    /// Arrival rate at time `at`, in requests per second.
     pub fn rate(&self, world: &World, at: Nanos) -> f64 {
         let phase = at as f64 / world.load.wave_period.max(1) as f64 * WAVE_RADIANS;
         let tenants: f64 =
@@ -125,7 +125,7 @@
             * (1.0 + world.load.wave_amplitude * phase.sin())
     }
 
-    /// The next request. Arrivals are a Poisson process whose rate is that of the last one's time.
+    /// Draws the next request. Arrivals form a Poisson process with the rate at the time of the previous one.
     pub fn next(&mut self, world: &World) -> ClientRequest {
         let rate = self.rate(world, self.last_due_at).max(1e-3);
         let gap: f64 = Exp1.sample(&mut self.rng);
@@ -159,31 +159,31 @@
     }
 }
 
-/// When a client comes again after the try with this number, from 0; none if it does not. `now` is when it saw the
-/// try end, and `deadline` when its time over all tries is up.
+/// When a client retries after a try, or `None` if it gives up. `tries` is the number of tries before this
+/// one, `now` the time at which the client saw it end.
 pub fn next_retry(
     world: &World,
     request: &ClientRequest,
-    tries: u32,
+    try_number: u32,
     outcome: TryOutcome,
     now: Nanos,
     rng: &mut impl Rng,
 ) -> Option<Nanos> {
     let load = &world.load;
     let class = &world.classes[request.class];
-    // What may have run is not asked for again, unless that is safe.
+    // Requests that may have run are retried only if repeating is safe.
     let is_safe = match outcome {
         TryOutcome::Served => return None,
         TryOutcome::Rejected(_) | TryOutcome::Unreachable => true,
         TryOutcome::Failed => class.idempotency == Idempotency::Idempotent,
     };
-    if !is_safe || tries >= load.max_retries || load.retry_policy == RetryPolicy::Never {
+    if !is_safe || try_number >= load.max_retries || load.retry_policy == RetryPolicy::Never {
         return None;
     }
     let wait = match load.retry_policy {
         RetryPolicy::Never | RetryPolicy::Immediate => 0,
         RetryPolicy::Backoff => {
-            let doubled = load.backoff << tries.min(MAX_DOUBLINGS);
+            let doubled = load.backoff << try_number.min(MAX_DOUBLINGS);
             (doubled as f64 * (0.5 + rng.random::<f64>())) as Nanos
         }
     };
@@ -195,7 +195,7 @@
     (at < request.due_at.saturating_add(class.deadline)).then_some(at)
 }
 
-/// How long a client waits for a try that begins now.
+/// How long a client waits for a try that starts at `now`.
 pub fn try_timeout(world: &World, request: &ClientRequest, now: Nanos) -> Nanos {
     let class = &world.classes[request.class];
     let remaining = request.due_at.saturating_add(class.deadline).saturating_sub(now);
--- a/model/src/invariants.rs
+++ b/model/src/invariants.rs
@@ -1,7 +1,7 @@
-//! What every run checks, whatever is played: the book of all requests, from what clients, nodes and servers saw.
+//! Invariants checked in every run, from what clients, nodes and servers observed.
 //!
-//! It is told facts and remembers broken rules with the request's id. It knows nothing of how the facts came about,
-//! so the same book serves virtual time and real sockets.
+//! The checker is told what happened and records violations with the id of the request. It does not depend on
+//! the source of the observations, so it serves both virtual time and real sockets.
 
 use std::collections::HashMap;
 
@@ -10,41 +10,41 @@
 
 use crate::scenario::Idempotency;
 
-/// Broken ones that are kept with their details, for each rule; the count goes on.
+/// Violations kept with details for each rule; further ones are only counted.
 const MAX_VIOLATIONS: usize = 50;
 
-/// The rules that are checked.
+/// The rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
-    /// Each request gets one final outcome within its time.
+    /// Each request gets exactly one final answer, in time.
     OneOutcome,
-    /// What must run once never runs twice, and is not refused once it may have run.
+    /// A non-repeatable request never runs twice, and is not rejected once it may have run.
     RunsOnce,
-    /// A keyed repeat goes to the group and in the window of the first only.
+    /// A repeat of a keyed request goes to the same group, within the deduplication window.
     KeyedInGroup,
-    /// No two attempts of one request are out together.
+    /// Attempts of one request do not overlap.
     NeverTwoOut,
-    /// Nothing new goes to a draining server after the grace.
+    /// No new attempt goes to a draining server after the grace period.
     DrainKept,
-    /// No cold server is pushed over.
+    /// No cold server is overloaded.
     ColdSpared,
-    /// A server gets only what a client asked for.
+    /// Servers receive only requests that a client sent.
     KnownOnly,
-    /// Memory and descriptors of each process stay within their bounds.
+    /// Memory and descriptors of each process stay within their limits.
     ProcessBounds,
-    /// Every process that was started has ended, and none ended by itself.
+    /// Every process that was started has ended, and none ended unexpectedly.
     ProcessesEnded,
-    /// What the registry acknowledged is there in the end.
+    /// Registrations acknowledged by the registry are present at the end.
     RegistryKeeps,
-    /// No client of the registry is told an older version than it has seen.
+    /// No client of the registry sees the list's version go backwards.
     RegistryForward,
-    /// Every client of the registry has the committed list in the end.
+    /// Every client of the registry has the committed list at the end.
     RegistrySame,
-    /// Nobody who renews is told of as gone.
+    /// No instance that renews its lease is reported as gone.
     RegistryBelieves,
 }
 
-/// All rules, in the order of a report.
+/// All rules, in the order of reports.
 pub const RULES: [Rule; 13] = [
     Rule::OneOutcome,
     Rule::RunsOnce,
@@ -62,7 +62,7 @@
 ];
 
 impl Rule {
-    /// Its name in results.
+    /// Name in results.
     pub fn name(self) -> &'static str {
         match self {
             Self::OneOutcome => "one_outcome",
@@ -82,52 +82,52 @@
     }
 }
 
-/// One broken rule.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Violation {
-    /// The request's id as it stands in the logs, or the name of what else is concerned.
+    /// Id of the request as it appears in logs, or the name of the process concerned.
     pub id: String,
-    /// When, in milliseconds from the start of the load.
+    /// Time in milliseconds since the start of the load.
     pub at_ms: f64,
-    /// What was seen.
+    /// What was observed.
     #[serde(rename = "what")]
     pub detail: String,
 }
 
-/// How often a rule was checked, and what broke it.
+/// How often a rule was checked and violated.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RuleReport {
-    /// The rule.
+    /// Name of the rule.
     pub name: String,
-    /// Times that it was checked.
+    /// Number of checks.
     pub checked: u64,
-    /// Times that it was broken.
+    /// Number of violations.
     #[serde(rename = "broken")]
     pub violated: u64,
-    /// The first broken ones.
+    /// The first violations.
     #[serde(rename = "breaches", default, skip_serializing_if = "Vec::is_empty")]
     pub violations: Vec<Violation>,
 }
 
-/// How a request ended, by what its client was told.
+/// Final answer to a request, as sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalAnswer {
     /// Served.
     Served,
-    /// Refused: trying again does no harm.
+    /// Rejected: safe to retry.
     Rejected,
-    /// Failed, with no promise.
+    /// Failed; it may have run.
     Failed,
 }
 
-/// The time limits of the rules.
+/// Tolerances of the checks.
 #[derive(Clone, Copy, Debug)]
 pub struct Tolerances {
-    /// How long past a request's time an answer is still one.
+    /// How long after its deadline a request may still be answered.
     pub answer_slack: Nanos,
-    /// How long past its word a node may send to a draining server.
+    /// How long after being notified of a drain a node may still send to the server.
     pub drain_grace: Nanos,
-    /// By how much the times of two observers may differ.
+    /// Maximum difference between the clocks of two observers.
     pub clock_skew: Nanos,
 }
 
@@ -149,24 +149,24 @@
     last_activity: Nanos,
 }
 
-/// The book.
+/// Checks the rules and counts checks and violations.
 pub struct InvariantChecker {
-    limits: Tolerances,
+    tolerances: Tolerances,
     start: Nanos,
     requests: HashMap<u64, Record>,
     reports: Vec<RuleReport>,
 }
 
-/// A request's id as it stands in the logs and on the wire.
+/// Id of a request as it appears in logs and on the wire.
 pub fn wire_id(id: u64) -> String {
     format!("{id:016x}")
 }
 
 impl InvariantChecker {
-    /// An empty book; times in breaches count from `start`.
-    pub fn new(limits: Tolerances, start: Nanos) -> Self {
+    /// Creates a checker; times of violations are relative to `start`.
+    pub fn new(tolerances: Tolerances, start: Nanos) -> Self {
         let named = |rule: &Rule| RuleReport { name: rule.name().to_owned(), ..RuleReport::default() };
-        Self { limits, start, requests: HashMap::new(), reports: RULES.iter().map(named).collect() }
+        Self { tolerances, start, requests: HashMap::new(), reports: RULES.iter().map(named).collect() }
     }
 
     /// Counts a check of a rule.
@@ -174,7 +174,7 @@
         self.reports[rule as usize].checked += 1;
     }
 
-    /// Notes a broken rule.
+    /// Records a violation.
     pub fn record_violation(&mut self, rule: Rule, id: String, at: Nanos, detail: String) {
         let report = &mut self.reports[rule as usize];
         report.violated += 1;
@@ -184,17 +184,17 @@
         }
     }
 
-    /// A client has sent a request.
+    /// A client sent a request to a node.
     pub fn request_sent(
         &mut self,
         id: u64,
-        effect: Idempotency,
+        idempotency: Idempotency,
         window: Nanos,
         not_after: Nanos,
         now: Nanos,
     ) {
         let record = Record {
-            effect,
+            effect: idempotency,
             window,
             not_after,
             excused: false,
@@ -205,12 +205,13 @@
         self.requests.insert(id, record);
     }
 
-    /// A request's node was killed, paused or cut off from its client: no answer is owed in time.
+    /// The node of a request was killed, paused or disconnected from the client, so no answer is owed.
     pub fn excuse(&mut self, id: u64) {
         self.requests.get_mut(&id).into_iter().for_each(|record| record.excused = true);
     }
 
-    /// A request has reached a server, whose node had been told at `drains` that it drains. The attempt's number.
+    /// An attempt arrived at a server. `drains` is when the node was notified that the server drains. Returns
+    /// the index of the attempt.
     pub fn attempt_arrived(
         &mut self,
         id: u64,
@@ -220,13 +221,13 @@
         now: Nanos,
     ) -> Option<usize> {
         self.record_check(Rule::KnownOnly);
-        let (limits, start) = (self.limits, self.start);
+        let (tolerances, start) = (self.tolerances, self.start);
         let Some(record) = self.requests.get_mut(&id) else {
             self.record_violation(
                 Rule::KnownOnly,
                 wire_id(id),
                 now,
-                format!("server {server} got an id that nobody sent"),
+                format!("server {server} received an unknown request id"),
             );
             return None;
         };
@@ -241,32 +242,36 @@
                     checked.push(Rule::RunsOnce);
                     violations.push((
                         Rule::RunsOnce,
-                        format!("server {server} got it after server {} may have run it", first.server),
+                        format!("attempt at server {server} after server {} may have run it", first.server),
                     ));
                 }
                 Idempotency::Keyed => {
                     checked.push(Rule::KeyedInGroup);
                     let age = now.saturating_sub(first.started_at);
                     if first.cell != cell {
-                        violations
-                            .push((Rule::KeyedInGroup, format!("group {cell} after group {}", first.cell)));
-                    } else if age > record.window + limits.clock_skew {
+                        violations.push((
+                            Rule::KeyedInGroup,
+                            format!("repeated in group {cell} after an attempt in group {}", first.cell),
+                        ));
+                    } else if age > record.window + tolerances.clock_skew {
                         let (age, window) = (age / 1_000_000, record.window / 1_000_000);
                         violations.push((
                             Rule::KeyedInGroup,
-                            format!("{age} ms after the first, past {window} ms"),
+                            format!(
+                                "repeated {age} ms after the first attempt, outside the window of {window} ms"
+                            ),
                         ));
                     }
                 }
             }
         }
         checked.push(Rule::DrainKept);
-        if let Some(notified_at) =
-            drain_notified_at.filter(|notified_at| now > notified_at + limits.drain_grace + limits.clock_skew)
+        if let Some(notified_at) = drain_notified_at
+            .filter(|notified_at| now > notified_at + tolerances.drain_grace + tolerances.clock_skew)
         {
             violations.push((
                 Rule::DrainKept,
-                format!("server {server} drains, as its node was told at {:.0} ms", since(notified_at)),
+                format!("server {server} is draining, its node was notified at {:.0} ms", since(notified_at)),
             ));
         }
         record.attempts.push(Attempt { server, cell, started_at: now, ended_at: None, may_have_run: true });
@@ -278,9 +283,9 @@
         Some(index)
     }
 
-    /// An attempt is no longer out. `ran` is false where it surely never ran.
+    /// An attempt ended. `ran` is false if it certainly never ran.
     pub fn attempt_ended(&mut self, id: u64, attempt: usize, ran: bool, now: Nanos) {
-        let limits = self.limits;
+        let tolerances = self.tolerances;
         let Some(record) = self.requests.get_mut(&id) else { return };
         record.last_activity = record.last_activity.max(now);
         let Some(current) = record.attempts.get_mut(attempt).filter(|attempt| attempt.ended_at.is_none())
@@ -289,9 +294,9 @@
         };
         current.ended_at = Some(now);
         current.may_have_run &= ran;
-        // Out together with the next one, by more than two observers' clocks can tell.
+        // Overlap with the next attempt beyond the clock tolerance.
         let overlap =
-            record.attempts.get(attempt + 1).filter(|next| now > next.started_at + limits.clock_skew);
+            record.attempts.get(attempt + 1).filter(|next| now > next.started_at + tolerances.clock_skew);
         let overlap = overlap.map(|next| (next.server, (now - next.started_at) / 1_000_000));
         self.record_check(Rule::NeverTwoOut);
         if let Some((server, ms)) = overlap {
@@ -299,28 +304,28 @@
                 Rule::NeverTwoOut,
                 wire_id(id),
                 now,
-                format!("out for {ms} ms beside one at {server}"),
+                format!("overlapped for {ms} ms with an attempt at server {server}"),
             );
         }
     }
 
-    /// A client was told how its request ended.
+    /// A client received the final answer to a request.
     pub fn request_answered(&mut self, id: u64, answer: FinalAnswer, now: Nanos) {
-        let limits = self.limits;
+        let tolerances = self.tolerances;
         let Some(record) = self.requests.get_mut(&id) else { return };
         record.last_activity = record.last_activity.max(now);
         let mut violations: Vec<(Rule, String)> = Vec::new();
         if record.answered.is_some() {
-            violations.push((Rule::OneOutcome, "a second answer".to_owned()));
-        } else if !record.excused && now > record.not_after + limits.answer_slack {
+            violations.push((Rule::OneOutcome, "answered twice".to_owned()));
+        } else if !record.excused && now > record.not_after + tolerances.answer_slack {
             let late = (now - record.not_after) / 1_000_000;
-            violations.push((Rule::OneOutcome, format!("answered {late} ms after its time")));
+            violations.push((Rule::OneOutcome, format!("answered {late} ms after the deadline")));
         }
         let ran = record.attempts.iter().find(|attempt| attempt.may_have_run).map(|attempt| attempt.server);
         if let (FinalAnswer::Rejected, Some(server), false) =
             (answer, ran, record.effect == Idempotency::Idempotent)
         {
-            violations.push((Rule::RunsOnce, format!("refused though server {server} may have run it")));
+            violations.push((Rule::RunsOnce, format!("rejected although server {server} may have run it")));
         }
         record.answered = Some((answer, now));
         self.record_check(Rule::OneOutcome);
@@ -330,17 +335,17 @@
         }
     }
 
-    /// A request's time is over: its account is closed. Its attempts may still be out.
+    /// The time of a request is up; attempts may still be in flight.
     pub fn request_expired(&mut self, id: u64, now: Nanos) {
         let Some(record) = self.requests.get(&id) else { return };
         let unanswered = record.answered.is_none() && !record.excused;
         if unanswered {
             self.record_check(Rule::OneOutcome);
-            self.record_violation(Rule::OneOutcome, wire_id(id), now, "no answer within its time".to_owned());
+            self.record_violation(Rule::OneOutcome, wire_id(id), now, "no answer by the deadline".to_owned());
         }
     }
 
-    /// Drops a closed request that has nothing out.
+    /// Removes a request that has no attempts in flight.
     pub fn remove_if_done(&mut self, id: u64) {
         let done = |record: &Record| record.attempts.iter().all(|attempt| attempt.ended_at.is_some());
         if self.requests.get(&id).is_some_and(done) {
@@ -348,31 +353,32 @@
         }
     }
 
-    /// Drops what nothing was heard of since then.
+    /// Removes requests without activity since `then`.
     pub fn remove_idle_since(&mut self, then: Nanos) {
         self.requests.retain(|_, record| record.last_activity >= then);
     }
 
-    /// A cold server fell over, by the work of those who had been told of its start or not: only they break the rule.
+    /// A cold server crashed. It is a violation only if it was overloaded by nodes that knew of its start
+    /// (`told`).
     pub fn server_crashed(&mut self, server: &str, informed: bool, now: Nanos) {
         self.record_check(Rule::ColdSpared);
         if informed {
-            let detail = "pushed over while cold by nodes that had been told of its start";
+            let detail = "overloaded while cold by nodes that knew of its start";
             self.record_violation(Rule::ColdSpared, server.to_owned(), now, detail.to_owned());
         }
     }
 
-    /// Requests that are still in the book.
+    /// Number of tracked requests.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// The rules as checked so far.
+    /// Returns the results by rule.
     pub fn reports(&self) -> &[RuleReport] {
         &self.reports
     }
 
-    /// Adds another book's checks to this one's.
+    /// Adds the results of another checker.
     pub fn merge(&mut self, other: &Self) {
         for (own, other) in self.reports.iter_mut().zip(&other.reports) {
             own.checked += other.checked;
--- a/model/src/lib.rs
+++ b/model/src/lib.rs
@@ -1,11 +1,12 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
-//! A model of what flaxdale's nodes serve: app servers, clients, links and their troubles, without sockets or clocks.
+//! Model of a fleet and its surroundings: app servers, clients, links and faults, without sockets or clocks.
 //!
-//! [`plan`] is what a person writes, [`world`] the same with every figure drawn from a seed, [`timeline`] what is known
-//! of it beforehand. [`server`] is one app server, [`keys`] what a group of them has seen, [`clients`] what is asked for and again, [`ledger`] the rules that
-//! every run checks, [`measure`] what it comes to. These serve two drivers: real processes on sockets, in the rig, and
-//! [`run`], which plays the decision module itself in virtual time.
+//! A [`scenario`] is written by the user, [`world`] draws its random values, and [`timeline`] computes the
+//! effects of its faults. [`server`] models one app server, [`dedup`] the keys shared by a group of servers,
+//! and [`clients`] the load. [`invariants`] are checked in every run, [`stats`] summarizes it. These are used
+//! with real processes on sockets by the rig, and by [`simulation`], which runs load balancers in virtual
+//! time.
 
 pub mod balancers;
 pub mod clients;
--- a/model/src/ordered.rs
+++ b/model/src/ordered.rs
@@ -1,8 +1,8 @@
-//! A number that can be compared whatever it is.
+//! Total order for floating-point numbers.
 
 use std::cmp::Ordering;
 
-/// A floating-point number in its total order, for heaps.
+/// A floating-point number ordered by `f64::total_cmp`, for use in heaps.
 #[derive(Clone, Copy, Debug)]
 pub struct TotalF64(pub f64);
 
--- a/model/src/scenario.rs
+++ b/model/src/scenario.rs
@@ -1,6 +1,6 @@
-//! What is to be played, as a person writes it: a fleet, its load, its links and its troubles, with a range wherever
-//! a figure may be drawn. Every field has a default, so that an empty plan plays. [`Plan::check`] tells what makes
-//! no sense; [`World::draw`](crate::world::World::draw) turns a plan and a seed into figures.
+//! Description of a simulated fleet: its size, load, network and faults. A value may be given as a range to
+//! sample from, and every field has a default. [`Scenario::validate`] checks the values;
+//! [`World::sample`](crate::world::World::sample) draws all random values from a seed.
 
 use std::fmt;
 use std::ops::Range as Bytes;
@@ -8,44 +8,44 @@
 use serde::de::{self, SeqAccess, Visitor};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Bounds of what a plan may ask for: what one machine's descriptors and memory bear.
+/// Upper bounds, set by the descriptors and memory of one machine.
 pub const MAX_NODES: u32 = 2_000;
-/// See [`MOST_NODES`].
+/// See [`MAX_NODES`].
 pub const MAX_SERVERS: u32 = 5_000;
-/// See [`MOST_NODES`].
+/// See [`MAX_NODES`].
 pub const MAX_ZONES: usize = 64;
-/// Seconds that a run may last at most.
+/// Maximum duration of a run, in seconds.
 pub const MAX_RUN_SECONDS: f64 = 7_200.0;
-/// Requests a second that a plan may ask for at most.
+/// Maximum load, in requests per second.
 pub const MAX_RPS: f64 = 1_000_000.0;
-/// Faults in a plan.
+/// Maximum number of faults.
 pub const MAX_FAULTS: usize = 1_000;
-/// Replicas of a registry.
+/// Maximum number of registry replicas.
 pub const MAX_REPLICAS: u32 = 9;
-/// The replica that leads when a fault begins, as `who`.
+/// Value of `who` that selects the replica that is leader when the fault begins.
 pub const LEADER: &str = "leader";
 
-/// A figure, or the range that it is drawn from: `5` or `[2, 8]`.
+/// A value or a range to sample it from: `5` or `[2, 8]`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Range {
-    /// The one end.
+    /// First bound.
     pub from: f64,
-    /// The other, which may be the lower one.
+    /// Second bound, which may be less than the first.
     pub to: f64,
 }
 
 impl Range {
-    /// A range of one figure.
+    /// A fixed value.
     pub const fn fixed(value: f64) -> Self {
         Self { from: value, to: value }
     }
 
-    /// A range between two figures.
+    /// A range between two values.
     pub const fn new(from: f64, to: f64) -> Self {
         Self { from, to }
     }
 
-    /// The figure at a share of the way, 0 to 1.
+    /// Linear interpolation between the bounds; `share` is from 0 to 1.
     pub fn interpolate(&self, share: f64) -> f64 {
         self.from + (self.to - self.from) * share
     }
@@ -72,14 +72,14 @@
             type Value = Range;
 
             fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-                f.write_str("a number, or a range of two such as [2, 8]")
+                f.write_str("a number or a range such as [2, 8]")
             }
 
             fn visit_f64<E: de::Error>(self, value: f64) -> Result<Range, E> {
                 if value.is_finite() {
                     Ok(Range::fixed(value))
                 } else {
-                    Err(E::custom("a finite number is wanted"))
+                    Err(E::custom("expected a finite number"))
                 }
             }
 
@@ -92,7 +92,7 @@
             }
 
             fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Range, A::Error> {
-                let invalid = || de::Error::custom("a range has two numbers, such as [2, 8]");
+                let invalid = || de::Error::custom("expected a range of two numbers such as [2, 8]");
                 let from: f64 = seq.next_element()?.ok_or_else(invalid)?;
                 let to: f64 = seq.next_element()?.ok_or_else(invalid)?;
                 if seq.next_element::<f64>()?.is_some() || !from.is_finite() || !to.is_finite() {
@@ -105,15 +105,15 @@
     }
 }
 
-/// Where in its file something stands, as a span of bytes; empty where it came from no file.
+/// Byte span in a file; empty if there is no file.
 pub type Span = Bytes<usize>;
 
-/// What is wrong with a plan.
+/// An invalid value in a scenario.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ValidationError {
-    /// The key at fault, as `fault[2].zone`.
+    /// Path of the key, such as `fault[2].zone`.
     pub key: String,
-    /// What is wrong, and what would be right.
+    /// What is wrong and what is expected.
     pub message: String,
 }
 
@@ -125,55 +125,55 @@
 
 impl std::error::Error for ValidationError {}
 
-/// What is to be played.
+/// Everything that is simulated.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Scenario {
     /// Nodes, servers and zones.
     pub fleet: Fleet,
-    /// What clients ask for.
+    /// Load from clients.
     pub load: Load,
-    /// Delays between the parties.
+    /// Network delays.
     pub network: Network,
-    /// The list service.
+    /// The discovery service.
     pub discovery: Discovery,
-    /// The fleet's own registry; without replicas the stand-in of the protocol page tells the list.
+    /// The fleet's own registry; without replicas, a stand-in for the discovery service is used.
     pub registry: Registry,
-    /// The figures of the rules.
+    /// Limits that the fleet is checked against.
     pub rules: Rules,
-    /// Machine kinds; the usual three if none is named.
+    /// Machine kinds; three defaults if empty.
     #[serde(rename = "kind")]
     pub kinds: Vec<Kind>,
-    /// Request classes; `save` and `sign` if none is named.
+    /// Request classes; `save` and `sign` if empty.
     #[serde(rename = "class")]
     pub classes: Vec<Class>,
-    /// Customers; none if none is named.
+    /// Tenants; none if empty.
     #[serde(rename = "tenant")]
     pub tenants: Vec<Tenant>,
-    /// What goes wrong, and when.
+    /// Faults and their times.
     #[serde(rename = "fault")]
     pub faults: Vec<Fault>,
 }
 
-/// The fleet's own registry, in processes of its own, and who talks to it beside the nodes.
+/// The fleet's own registry, and its clients besides the nodes.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Registry {
-    /// How many replicas; 0 for none.
+    /// Number of replicas; 0 for no registry.
     pub replicas: u32,
-    /// A lease lasts so long.
+    /// Duration of a lease.
     pub lease_ms: f64,
-    /// How often each instance renews.
+    /// Interval at which instances renew their leases.
     pub renew_ms: f64,
-    /// Entries after which a replica compacts its log.
+    /// Log entries after which a replica takes a snapshot.
     pub snapshot_every: u32,
-    /// Further instances, which register and renew. They are found at the app servers' addresses.
+    /// Additional instances that register and renew, at the addresses of the app servers.
     pub instances: u32,
-    /// Registrations a second, one after the other, of which each has to be there in the end.
+    /// Sequential registrations per second; each must be present at the end of the run.
     pub writes_per_s: f64,
-    /// Clients that watch and keep account of what they are told, each with a replica of its own first.
+    /// Clients that watch the list and verify its order, each starting with a different replica.
     pub watchers: u32,
-    /// Clients that watch the first replica, as many as that in each equal part of the run, while the list changes.
+    /// Number of clients watching the first replica in each equal part of the run, while the list changes.
     #[serde(rename = "crowd")]
     pub watcher_steps: Vec<u32>,
 }
@@ -199,20 +199,20 @@
 pub struct Fleet {
     /// Names of the zones.
     pub zones: Vec<String>,
-    /// How many nodes, dealt out over the zones in turn.
+    /// Number of nodes, assigned to zones round-robin.
     pub nodes: u32,
-    /// How many app servers.
+    /// Number of app servers.
     pub servers: u32,
-    /// Each zone's part of the servers against the others'; even if none is named.
+    /// Relative number of servers in each zone; equal if empty.
     #[serde(rename = "sizes")]
     pub zone_weights: Vec<f64>,
-    /// App servers that share the keys they have seen, in a group.
+    /// Number of app servers that share one table of idempotency keys.
     #[serde(rename = "group")]
     pub group_size: Range,
-    /// Whether crowded servers turn slow.
+    /// Whether overloaded servers slow down, see [`Congestion`](crate::server::Congestion).
     #[serde(rename = "chokes")]
     pub congestion: bool,
-    /// Whether answers carry load reports.
+    /// Whether responses carry load reports.
     #[serde(rename = "reports")]
     pub load_reports: bool,
 }
@@ -231,48 +231,48 @@
     }
 }
 
-/// When a client comes again after an answer that did not serve it.
+/// When a client retries a request that was not served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RetryPolicy {
     /// Never.
     Never,
-    /// At once.
+    /// Immediately.
     #[serde(rename = "at-once")]
     Immediate,
-    /// After a wait that doubles.
+    /// With exponential backoff.
     #[serde(rename = "later")]
     Backoff,
 }
 
-/// What clients ask for.
+/// Load from clients.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Load {
-    /// Requests a second over all nodes; `utilisation` decides if absent.
+    /// Requests per second over all nodes; derived from `utilisation` if absent.
     pub rps: Option<f64>,
-    /// Share of what the servers can do, if `rps` is absent.
+    /// Load as a share of the servers' capacity, used if `rps` is absent.
     pub utilisation: f64,
-    /// How far it swings up and down, as a share.
+    /// Relative amplitude of the load's sine wave.
     #[serde(rename = "swing")]
     pub wave_amplitude: Range,
-    /// Seconds from one crest to the next.
+    /// Period of the load's sine wave, in seconds.
     #[serde(rename = "wave_s")]
     pub wave_period_s: Range,
-    /// How much more one zone is asked for than another, as a share.
+    /// Additional load of the first zone, as a share.
     pub zone_skew: Range,
-    /// When a client comes again.
+    /// When clients retry.
     #[serde(rename = "again")]
     pub retry_policy: RetryPolicy,
-    /// How often at most.
+    /// Maximum number of retries.
     #[serde(rename = "retries")]
     pub max_retries: u32,
-    /// The first wait before it, in milliseconds.
+    /// Initial backoff, in milliseconds.
     pub backoff_ms: Range,
-    /// Share of the clients that heed `Retry-After`.
+    /// Share of clients that honor `Retry-After`.
     #[serde(rename = "heeds")]
     pub retry_after_share: Range,
-    /// A try is given up after this share of the class's deadline.
+    /// Timeout of one try, as a share of the class's deadline.
     #[serde(rename = "try_share")]
     pub try_timeout_share: Range,
 }
@@ -294,7 +294,7 @@
     }
 }
 
-/// Delays between the parties, one way.
+/// One-way network delays.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Network {
@@ -304,7 +304,7 @@
     /// Between zones, in milliseconds.
     #[serde(rename = "cross_ms")]
     pub cross_zone_ms: Range,
-    /// Relative spread of each delay.
+    /// Relative jitter of each delay.
     pub jitter: Range,
 }
 
@@ -318,14 +318,14 @@
     }
 }
 
-/// The list service.
+/// The discovery service.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Discovery {
-    /// A change reaches the nodes so many seconds after it happened.
+    /// Time until nodes learn of a change, in seconds.
     #[serde(rename = "notice_s")]
     pub propagation_s: Range,
-    /// A server that has fallen silent is missed after so many seconds.
+    /// Time until a silent server is removed from the list, in seconds.
     #[serde(rename = "silent_s")]
     pub failure_detection_s: Range,
 }
@@ -336,22 +336,23 @@
     }
 }
 
-/// The figures of the rules.
+/// Limits that the fleet is checked against.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    /// Nothing new goes to a server so long after the node was told that it drains.
+    /// How long after being notified of a drain a node may still send to the server.
     pub drain_grace_ms: f64,
-    /// A cold server sent more than this multiple of its capacity falls over ...
+    /// A cold server crashes if the work it receives within the overload window exceeds this multiple of its
+    /// current capacity.
     #[serde(rename = "fall_multiple")]
     pub overload_factor: f64,
-    /// ... counted over any span of this length.
+    /// Length of the overload window.
     #[serde(rename = "fall_ms")]
     pub overload_window_ms: f64,
-    /// The longest pause that a refusal may advise.
+    /// Maximum `Retry-After` of a rejection.
     #[serde(rename = "retry_after_ms")]
     pub max_retry_after_ms: f64,
-    /// Attempts for one request at most.
+    /// Maximum number of attempts per request.
     #[serde(rename = "attempts")]
     pub max_attempts: u32,
 }
@@ -372,31 +373,31 @@
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Kind {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// Its part of the servers.
+    /// Relative number of servers of this kind.
     pub share: f64,
-    /// Cores of a machine.
+    /// Number of cores.
     pub cores: u32,
-    /// Speed of a core against the standard one.
+    /// Speed of a core relative to the standard core.
     pub speed: Range,
-    /// Requests in work for each core.
+    /// Maximum number of requests in progress, per core.
     #[serde(rename = "slots")]
     pub concurrency: Range,
-    /// Requests that wait for each core.
+    /// Maximum number of queued requests, per core.
     #[serde(rename = "room")]
     pub queue_capacity: Range,
-    /// Loss of efficiency when crowded.
+    /// Efficiency lost for each further `thrash_at` requests per core.
     pub thrash: Range,
-    /// Requests held for each core from which on efficiency is lost.
+    /// Requests per core up to which no efficiency is lost.
     pub thrash_at: Range,
-    /// Share of its capacity that it starts with.
+    /// Share of its capacity right after a cold start.
     #[serde(rename = "cold_from")]
     pub initial_capacity: Range,
-    /// Seconds until it is warm.
+    /// Duration of the warm-up, in seconds.
     #[serde(rename = "cold_s")]
     pub slow_start_s: Range,
-    /// Share of its requests that fail by themselves.
+    /// Share of requests that fail without a fault.
     #[serde(default)]
     pub error_rate: f64,
 }
@@ -419,14 +420,14 @@
     }
 }
 
-/// Whether a request may take effect twice.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Idempotency {
     /// Safe to repeat.
     #[serde(rename = "repeatable")]
     Idempotent,
-    /// Repeats are dropped inside a group of servers for a while.
+    /// Repeats are deduplicated by key within a group of servers.
     Keyed,
     /// Must not run twice.
     #[serde(rename = "once")]
@@ -437,145 +438,145 @@
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// Its part of the requests.
+    /// Relative number of requests.
     pub share: f64,
-    /// Work on a standard core, in milliseconds.
+    /// CPU time on a standard core, in milliseconds.
     pub work_ms: Range,
-    /// Waits on others, in milliseconds.
+    /// Time spent waiting on downstream calls, in milliseconds.
     #[serde(rename = "wait_ms")]
     pub io_wait_ms: Range,
-    /// Spread of the work, as a coefficient of variation.
+    /// Coefficient of variation of the CPU time.
     pub cv: Range,
-    /// Wanted time, in milliseconds.
+    /// Latency target, in milliseconds.
     #[serde(rename = "aim_ms")]
     pub latency_target_ms: f64,
-    /// When a client gives up, in milliseconds.
+    /// Deadline of the client, in milliseconds.
     pub deadline_ms: f64,
-    /// Worth of one.
+    /// Value of a request served in time.
     #[serde(rename = "worth")]
     pub value: f64,
-    /// Share of the worth that is left after the aim.
+    /// Share of the value of a request served after its latency target.
     #[serde(rename = "late_worth")]
     pub late_value_share: f64,
-    /// Whether it may be repeated.
+    /// Whether a request may run more than once.
     #[serde(rename = "effect")]
     pub idempotency: Idempotency,
-    /// How long repeats of a keyed one are dropped, in milliseconds.
+    /// How long repeats of a keyed request are deduplicated, in milliseconds.
     #[serde(rename = "window_ms", default)]
     pub dedup_window_ms: f64,
 }
 
-/// A customer.
+/// A tenant.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// Its share of what the fleet can do.
+    /// Its share of the fleet's capacity.
     pub share: f64,
-    /// What it asks for against its share.
+    /// Its load relative to its share.
     pub usage: Range,
 }
 
-/// What goes wrong.
+/// Kinds of faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// A node's process is killed, and started again after `for_s`.
+    /// Kills a node; it restarts after `for_s`.
     KillNode,
-    /// A node's process is paused for `for_s`.
+    /// Pauses a node for `for_s`.
     PauseNode,
-    /// A node is told to end, and started again after `for_s`.
+    /// Terminates a node gracefully; it restarts after `for_s`.
     RestartNode,
-    /// A node starts only now.
+    /// Starts a node only at this time.
     LateNode,
-    /// An app server's process dies, and comes back cold after `for_s`.
+    /// Kills an app server; it restarts cold after `for_s`.
     KillServer,
-    /// App servers are `factor` times slower.
+    /// Slows app servers down by `factor`.
     SlowServer,
-    /// App servers take requests and answer none.
+    /// App servers accept requests and never respond.
     HangServer,
-    /// App servers fail `factor` of their requests at once.
+    /// App servers fail the share `factor` of their requests immediately.
     FailServer,
-    /// Another program takes `factor` of the machine.
+    /// Another program takes the share `factor` of the CPU.
     BusyServer,
-    /// An app server drains, goes, and a new one comes cold in its place.
+    /// An app server drains and ends, and a cold one takes its place.
     ReplaceServer,
-    /// A zone's app servers are silent, and come back; cold if `cold` says so.
+    /// The app servers of a zone become unreachable, and restart cold if `cold` is set.
     LoseZone,
-    /// Nothing passes a link: the bytes wait, as when a cable is out.
+    /// Nothing passes the link; data is held until it heals.
     CutLink,
-    /// A link takes `factor` milliseconds more.
+    /// Adds `factor` milliseconds to the delay of a link.
     DelayLink,
-    /// A link carries `factor` kilobytes a second.
+    /// Limits a link to `factor` kilobytes per second.
     ThrottleLink,
-    /// Connections over a link are reset, now and when they come, with the chance `factor` each second.
+    /// Resets the connections over a link with probability `factor` per second.
     ResetLink,
-    /// What the list service tells is `factor` seconds late.
+    /// Delays updates of the discovery service by `factor` seconds.
     LateDiscovery,
-    /// The list service takes calls and answers none.
+    /// The discovery service accepts calls and never responds.
     SilentDiscovery,
-    /// The list service turns `factor` of its calls away.
+    /// The discovery service rejects the share `factor` of its calls.
     BusyDiscovery,
-    /// The list service answers what is no list.
+    /// The discovery service responds with an invalid list.
     RubbishDiscovery,
-    /// The list service moves to another address, and the nodes are told by SIGHUP.
+    /// The discovery service moves to another address; nodes reload with SIGHUP.
     MoveDiscovery,
-    /// A replica of the registry is killed, and started again after `for_s`.
+    /// Kills a registry replica; it restarts after `for_s`.
     KillReplica,
-    /// A replica is paused for `for_s`.
+    /// Pauses a registry replica for `for_s`.
     PauseReplica,
-    /// A replica is killed and its store is lost; it is started again after `for_s`.
+    /// Kills a registry replica and deletes its store; it restarts after `for_s`.
     LoseReplica,
-    /// The operator orders that a zone gets the part `factor` of its requests, and all of them again after `for_s`.
+    /// The operator reduces a zone's traffic to the share `factor`, and restores it after `for_s`.
     OrderZone,
-    /// `factor` times the requests.
+    /// Multiplies the load by `factor`.
     Burst,
-    /// One tenant asks for `factor` times as much.
+    /// Multiplies the load of one tenant by `factor`.
     FloodTenant,
-    /// `factor` connections a second that ask nothing proper.
+    /// `factor` connections per second that send invalid requests.
     RudeClients,
 }
 
-/// One fault. Which of the fields it takes depends on what it is.
+/// A fault. Which fields apply depends on its kind.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// What goes wrong.
+    /// Kind of the fault.
     #[serde(rename = "what")]
     pub kind: FaultKind,
-    /// When it begins, in seconds from the start of the load.
+    /// Start in seconds after the start of the load.
     pub at_s: Range,
-    /// How long it lasts; to the end of the run if absent.
+    /// Duration in seconds; until the end of the run if absent.
     #[serde(rename = "for_s", default)]
     pub duration_s: Option<Range>,
-    /// One node, server or replica by its name, a zone by its name, or `leader` for the replica that leads then.
+    /// Name of a node, server, replica, zone or tenant, or `leader` for the current leader of the registry.
     #[serde(rename = "who", default)]
     pub target: Option<String>,
-    /// How many nodes or servers, drawn by the seed.
+    /// Number of targets, chosen at random.
     #[serde(default)]
     pub count: Option<u32>,
-    /// Which share of the nodes or servers, drawn by the seed.
+    /// Share of the targets, chosen at random.
     #[serde(default)]
     pub share: Option<Range>,
-    /// Drawn from this zone only.
+    /// Restricts the choice to this zone.
     #[serde(default)]
     pub zone: Option<String>,
-    /// How strong it is; its unit depends on what it is.
+    /// Magnitude; its unit depends on the kind.
     #[serde(default)]
     pub factor: Option<Range>,
-    /// A link's one end: a node, a server, a zone, `discovery`, or `*` for all.
+    /// One end of a link: a node, server, replica, zone, `discovery`, or `*` for all.
     #[serde(default)]
     pub from: Option<String>,
-    /// A link's other end.
+    /// The other end of the link.
     #[serde(default)]
     pub to: Option<String>,
-    /// Only what goes from `from` to `to` is concerned.
+    /// Whether only traffic from `from` to `to` is affected.
     #[serde(default)]
     pub one_way: bool,
-    /// Whether a lost zone comes back cold.
+    /// Whether the servers of a lost zone restart cold.
     #[serde(default)]
     pub cold: bool,
     /// Seconds between one target and the next.
@@ -584,7 +585,7 @@
 }
 
 impl Fault {
-    /// One that begins then and lasts to the end of the run, and says nothing else.
+    /// A fault without targets that lasts until the end of the run.
     pub fn new(what: FaultKind, at_s: Range) -> Self {
         Self {
             kind: what,
@@ -605,7 +606,7 @@
 }
 
 impl FaultKind {
-    /// Whether it picks nodes, servers, or neither.
+    /// What the fault applies to.
     pub fn target_kind(self) -> TargetKind {
         match self {
             Self::KillNode | Self::PauseNode | Self::RestartNode | Self::LateNode => TargetKind::Nodes,
@@ -623,46 +624,46 @@
         }
     }
 
-    /// What `factor` stands for, with its least and its most; none where it takes none.
+    /// Meaning, minimum and maximum of `factor`; `None` if it does not apply.
     pub fn factor_bounds(self) -> Option<(&'static str, f64, f64)> {
         Some(match self {
-            Self::SlowServer => ("times slower, 1 to 100", 1.0, 100.0),
+            Self::SlowServer => ("a slowdown factor, 1 to 100", 1.0, 100.0),
             Self::FailServer => ("the share that fails, 0 to 1", 0.0, 1.0),
-            Self::BusyServer => ("the share that is taken, 0 to 0.99", 0.0, 0.99),
+            Self::BusyServer => ("the share of the CPU taken, 0 to 0.99", 0.0, 0.99),
             Self::DelayLink => ("milliseconds, 0 to 10000", 0.0, 10_000.0),
-            Self::ThrottleLink => ("kilobytes a second, 1 to 1000000", 1.0, 1_000_000.0),
-            Self::ResetLink => ("the chance in a second, 0 to 1", 0.0, 1.0),
+            Self::ThrottleLink => ("kilobytes per second, 1 to 1000000", 1.0, 1_000_000.0),
+            Self::ResetLink => ("the probability per second, 0 to 1", 0.0, 1.0),
             Self::LateDiscovery => ("seconds, 0 to 60", 0.0, 60.0),
-            Self::BusyDiscovery => ("the share turned away, 0 to 1", 0.0, 1.0),
-            Self::OrderZone => ("a share, 0 to 1", 0.0, 1.0),
-            Self::Burst | Self::FloodTenant => ("times as much, 0 to 100", 0.0, 100.0),
-            Self::RudeClients => ("connections a second, 0 to 1000", 0.0, 1000.0),
+            Self::BusyDiscovery => ("the share of calls rejected, 0 to 1", 0.0, 1.0),
+            Self::OrderZone => ("a share of the traffic, 0 to 1", 0.0, 1.0),
+            Self::Burst | Self::FloodTenant => ("a load factor, 0 to 100", 0.0, 100.0),
+            Self::RudeClients => ("connections per second, 0 to 1000", 0.0, 1000.0),
             _ => return None,
         })
     }
 }
 
-/// Whom a trouble concerns.
+/// What a fault applies to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetKind {
-    /// Nodes, by `who`, `count` or `share`.
+    /// Nodes, selected by `who`, `count` or `share`.
     Nodes,
-    /// App servers, by `who`, `count` or `share`.
+    /// App servers, selected by `who`, `count` or `share`.
     Servers,
-    /// Replicas of the registry, by `who`, `count` or `share`.
+    /// Registry replicas, selected by `who`, `count` or `share`.
     Replicas,
-    /// The zone that `who` names.
+    /// The zone named by `who`.
     Zone,
-    /// What lies between `from` and `to`.
+    /// The link between `from` and `to`.
     Link,
-    /// The tenant that `who` names.
+    /// The tenant named by `who`.
     Tenant,
-    /// Nobody in particular.
+    /// The whole fleet.
     Global,
 }
 
 impl Scenario {
-    /// Fills in what an empty plan leaves to the usual: kinds and classes.
+    /// Fills in the default kinds and classes if there are none.
     pub fn with_defaults(mut self) -> Self {
         if self.kinds.is_empty() {
             self.kinds = vec![
@@ -672,17 +673,17 @@
             ];
         }
         if self.classes.is_empty() {
-            let class = |name: &str, share, aim_ms, worth, late_worth, effect| Class {
+            let class = |name: &str, share, latency_target_ms, value, late_value_share, idempotency| Class {
                 name: String::from(name),
                 share,
                 work_ms: Range::new(53.0, 97.0),
                 io_wait_ms: Range::new(37.0, 68.0),
                 cv: Range::new(0.32, 0.79),
-                latency_target_ms: aim_ms,
+                latency_target_ms,
                 deadline_ms: 1500.0,
-                value: worth,
-                late_value_share: late_worth,
-                idempotency: effect,
+                value,
+                late_value_share,
+                idempotency,
                 dedup_window_ms: 1500.0,
             };
             self.classes = vec![
@@ -693,40 +694,40 @@
         self
     }
 
-    /// What makes no sense in it, with the key at fault; the first of all.
+    /// Checks all values and returns the first error.
     pub fn validate(&self) -> Result<(), ValidationError> {
-        let error = |key: String, text: String| Err(ValidationError { key, message: text });
+        let error = |key: String, message: String| Err(ValidationError { key, message });
         let fleet = &self.fleet;
         if fleet.zones.is_empty() || fleet.zones.len() > MAX_ZONES {
-            return error("fleet.zones".into(), format!("1 to {MAX_ZONES} names are wanted"));
+            return error("fleet.zones".into(), format!("expected 1 to {MAX_ZONES} names"));
         }
         for (index, zone) in fleet.zones.iter().enumerate() {
             if zone.is_empty() || fleet.zones[..index].contains(zone) {
-                return error("fleet.zones".into(), format!("{zone:?} is empty or stands twice"));
+                return error("fleet.zones".into(), format!("{zone:?} is empty or duplicated"));
             }
         }
         for (key, value, max) in
             [("fleet.nodes", fleet.nodes, MAX_NODES), ("fleet.servers", fleet.servers, MAX_SERVERS)]
         {
             if value == 0 || value > max {
-                return error(key.into(), format!("1 to {max} is wanted, not {value}"));
+                return error(key.into(), format!("expected 1 to {max}, got {value}"));
             }
         }
         if (fleet.servers as usize) < fleet.zones.len() {
-            return error("fleet.servers".into(), "each zone needs one at least".into());
+            return error("fleet.servers".into(), "expected at least one server per zone".into());
         }
         if !fleet.zone_weights.is_empty() && fleet.zone_weights.len() != fleet.zones.len() {
             return error(
                 "fleet.sizes".into(),
-                format!("{} figures are wanted, one a zone", fleet.zones.len()),
+                format!("expected {} values, one per zone", fleet.zones.len()),
             );
         }
         if !fleet.zone_weights.iter().all(|size| *size > 0.0 && size.is_finite()) {
-            return error("fleet.sizes".into(), "figures above 0 are wanted".into());
+            return error("fleet.sizes".into(), "expected values above 0".into());
         }
         let check_range = |key: &str, range: Range, min: f64, max: f64| {
             if range.min() < min || range.max() > max {
-                return error(key.to_owned(), format!("{min} to {max} is wanted"));
+                return error(key.to_owned(), format!("expected {min} to {max}"));
             }
             Ok(())
         };
@@ -769,7 +770,7 @@
         for (n, class) in self.classes.iter().enumerate() {
             let key = |field: &str| format!("class[{n}].{field}");
             if class.name.is_empty() || self.classes[..n].iter().any(|other| other.name == class.name) {
-                return error(key("name"), "is empty or stands twice".into());
+                return error(key("name"), "is empty or duplicated".into());
             }
             check_range(&key("share"), Range::fixed(class.share), 1e-6, 1e6)?;
             check_range(&key("work_ms"), class.work_ms, 0.01, 60_000.0)?;
@@ -791,14 +792,14 @@
         for (n, tenant) in self.tenants.iter().enumerate() {
             let key = |field: &str| format!("tenant[{n}].{field}");
             if tenant.name.is_empty() || self.tenants[..n].iter().any(|other| other.name == tenant.name) {
-                return error(key("name"), "is empty or stands twice".into());
+                return error(key("name"), "is empty or duplicated".into());
             }
             check_range(&key("share"), Range::fixed(tenant.share), 0.0, 1.0)?;
             check_range(&key("usage"), tenant.usage, 0.0, 100.0)?;
         }
         let registry = &self.registry;
         if registry.replicas > MAX_REPLICAS || registry.replicas.is_multiple_of(2) && registry.replicas > 0 {
-            return error("registry.replicas".into(), format!("0, 1, 3, 5, 7 or {MAX_REPLICAS} is wanted"));
+            return error("registry.replicas".into(), format!("expected 0, 1, 3, 5, 7 or {MAX_REPLICAS}"));
         }
         check_range("registry.lease_ms", Range::fixed(registry.lease_ms), 500.0, 600_000.0)?;
         check_range("registry.renew_ms", Range::fixed(registry.renew_ms), 50.0, registry.lease_ms / 2.0)?;
@@ -810,108 +811,111 @@
             check_range("registry.crowd", Range::fixed((*watchers).into()), 1.0, 15_000.0)?;
         }
         if self.faults.len() > MAX_FAULTS {
-            return error("fault".into(), format!("{MAX_FAULTS} at most, not {}", self.faults.len()));
+            return error(
+                "fault".into(),
+                format!("expected at most {MAX_FAULTS}, got {}", self.faults.len()),
+            );
         }
         self.faults.iter().enumerate().try_for_each(|(n, fault)| self.validate_fault(n, fault))
     }
 
     fn validate_fault(&self, n: usize, fault: &Fault) -> Result<(), ValidationError> {
-        let error = |field: &str, text: String| {
-            Err(ValidationError { key: format!("fault[{n}].{field}"), message: text })
+        let error = |field: &str, message: String| {
+            Err(ValidationError { key: format!("fault[{n}].{field}"), message })
         };
         let target_kind = fault.kind.target_kind();
         if fault.at_s.min() < 0.0 || fault.at_s.max() > MAX_RUN_SECONDS {
-            return error("at_s", format!("0 to {MAX_RUN_SECONDS} is wanted"));
+            return error("at_s", format!("expected 0 to {MAX_RUN_SECONDS}"));
         }
         if fault.duration_s.is_some_and(|span| span.min() < 0.0)
             || fault.interval_s.is_some_and(|s| s.min() < 0.0)
         {
-            return error("for_s", "0 or more is wanted".into());
+            return error("for_s", "expected 0 or more".into());
         }
         let is_zone = |zone: &String| self.fleet.zones.contains(zone);
         let zones = self.fleet.zones.join(", ");
         if let Some(zone) = fault.zone.as_ref().filter(|zone| !is_zone(zone)) {
-            return error("zone", format!("{zone:?} is none of {zones}"));
+            return error("zone", format!("{zone:?} is not one of {zones}"));
         }
         match (fault.kind.factor_bounds(), fault.factor) {
-            (Some((unit, ..)), None) => return error("factor", format!("is wanted: {unit}")),
-            (None, Some(_)) => return error("factor", "does not go with this trouble".into()),
-            (Some((unit, least, most)), Some(range)) if range.min() < least || range.max() > most => {
-                return error("factor", format!("is wanted as {unit}"));
+            (Some((unit, ..)), None) => return error("factor", format!("is required: {unit}")),
+            (None, Some(_)) => return error("factor", "does not apply to this kind of fault".into()),
+            (Some((unit, min, max)), Some(range)) if range.min() < min || range.max() > max => {
+                return error("factor", format!("expected {unit}"));
             }
             _ => {}
         }
         let selectors = [fault.target.is_some(), fault.count.is_some(), fault.share.is_some()];
-        let selector_count = selectors.iter().filter(|given| **given).count();
+        let selector_count = selectors.iter().filter(|is_set| **is_set).count();
         match target_kind {
             TargetKind::Nodes | TargetKind::Servers | TargetKind::Replicas => {
                 if selector_count != 1 {
-                    return error("who", "one of who, count or share is wanted".into());
+                    return error("who", "expected one of who, count or share".into());
                 }
                 if fault.share.is_some_and(|share| share.min() < 0.0 || share.max() > 1.0) {
-                    return error("share", "0 to 1 is wanted".into());
+                    return error("share", "expected 0 to 1".into());
                 }
-                let (prefix, most) = match target_kind {
+                let (prefix, max) = match target_kind {
                     TargetKind::Nodes => ("n", self.fleet.nodes),
                     TargetKind::Servers => ("s", self.fleet.servers),
                     _ => ("r", self.registry.replicas),
                 };
-                if target_kind == TargetKind::Replicas && most == 0 {
-                    return error("what", "there is no registry: set registry.replicas".into());
+                if target_kind == TargetKind::Replicas && max == 0 {
+                    return error("what", "requires a registry: set registry.replicas".into());
                 }
                 let is_leader =
                     target_kind == TargetKind::Replicas && fault.target.as_deref() == Some(LEADER);
-                if let Some(who) = fault.target.as_ref().filter(|_| !is_leader) {
-                    let number = who.strip_prefix(prefix).and_then(|number| number.parse::<u32>().ok());
-                    if number.is_none_or(|number| number >= most) {
-                        return error("who", format!("{who:?} is none of {prefix}0 to {prefix}{}", most - 1));
+                if let Some(target) = fault.target.as_ref().filter(|_| !is_leader) {
+                    let number = target.strip_prefix(prefix).and_then(|number| number.parse::<u32>().ok());
+                    if number.is_none_or(|number| number >= max) {
+                        return error(
+                            "who",
+                            format!("{target:?} is not one of {prefix}0 to {prefix}{}", max - 1),
+                        );
                     }
                 }
             }
             TargetKind::Zone => match &fault.target {
                 Some(zone) if is_zone(zone) => {}
-                Some(zone) => return error("who", format!("{zone:?} is none of {zones}")),
-                None => return error("who", format!("a zone is wanted, one of {zones}")),
+                Some(zone) => return error("who", format!("{zone:?} is not one of {zones}")),
+                None => return error("who", format!("expected a zone, one of {zones}")),
             },
             TargetKind::Tenant => {
                 let names: Vec<&str> = self.tenants.iter().map(|tenant| tenant.name.as_str()).collect();
-                if !fault.target.as_deref().is_some_and(|who| names.contains(&who)) {
-                    return error("who", format!("a tenant is wanted, one of: {}", names.join(", ")));
+                if !fault.target.as_deref().is_some_and(|target| names.contains(&target)) {
+                    return error("who", format!("expected a tenant, one of: {}", names.join(", ")));
                 }
             }
             TargetKind::Link => {
                 for (field, end) in [("from", &fault.from), ("to", &fault.to)] {
                     let Some(end) = end else {
-                        return error(field, "is wanted: a node, a server, a zone, discovery or *".into());
+                        return error(field, "is required: a node, a server, a zone, discovery or *".into());
                     };
                     if !self.is_link_end(end) {
-                        return error(
-                            field,
-                            format!("{end:?} is no node, server or zone, nor discovery or *"),
-                        );
+                        return error(field, format!("{end:?} is not a node, server, zone, discovery or *"));
                     }
                 }
             }
             TargetKind::Global if selector_count > 0 => {
-                return error("who", "does not go with this trouble".into());
+                return error("who", "does not apply to this kind of fault".into());
             }
             TargetKind::Global => {}
         }
         if target_kind != TargetKind::Link && (fault.from.is_some() || fault.to.is_some() || fault.one_way) {
-            return error("from", "goes with links only".into());
+            return error("from", "applies to links only".into());
         }
         if fault.kind != FaultKind::LoseZone && fault.cold {
-            return error("cold", "goes with lose-zone only".into());
+            return error("cold", "applies to lose-zone only".into());
         }
         Ok(())
     }
 
     fn is_link_end(&self, name: &str) -> bool {
-        let number = |prefix: &str| name.strip_prefix(prefix).and_then(|number| number.parse::<u32>().ok());
+        let index = |prefix: &str| name.strip_prefix(prefix).and_then(|index| index.parse::<u32>().ok());
         matches!(name, "*" | "discovery")
             || self.fleet.zones.iter().any(|zone| zone == name)
-            || number("n").is_some_and(|number| number < self.fleet.nodes)
-            || number("s").is_some_and(|number| number < self.fleet.servers)
-            || number("r").is_some_and(|number| number < self.registry.replicas)
+            || index("n").is_some_and(|index| index < self.fleet.nodes)
+            || index("s").is_some_and(|index| index < self.fleet.servers)
+            || index("r").is_some_and(|index| index < self.registry.replicas)
     }
 }
--- a/model/src/server.rs
+++ b/model/src/server.rs
@@ -1,9 +1,10 @@
-//! One app server: cores, speed, slots, a waiting room, a cold start, crowding, and what a fault does to them.
+//! Model of one app server: cores, concurrency limit, queue, cold start, congestion and injected faults.
 //!
-//! A request computes first and then waits on others, holding a slot for both. All that compute share the cores
-//! evenly. Between two events every request that computes gets the same service, so one running total of it
-//! (`served`) is enough: a request is done computing when the total has grown by its work. Not modelled here: what
-//! a request's effect is, and who may send it; that is for the driver and the [`ledger`](crate::invariants).
+//! A request first uses the CPU and then waits on downstream calls; it occupies a concurrency slot for both
+//! phases. The cores are shared equally among the requests in the CPU phase (processor sharing), so a single
+//! running total of service per request (`service_total`) is enough: a request leaves the CPU phase once the
+//! total has grown by its work. Whether a request may run twice, and who may send it, is checked elsewhere, see
+//! [`invariants`](crate::invariants).
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
@@ -13,100 +14,103 @@
 use crate::ordered::TotalF64;
 
 const SECOND: f64 = 1e9;
-/// Share of a cold budget that may be overdrawn, and requests beyond it: sends come by chance.
+/// Tolerances on the cold-start budget for random arrivals when no mean work is known: a relative share, and
+/// a number of requests.
 const OVERLOAD_TOLERANCE: f64 = 0.1;
 const OVERLOAD_TOLERANCE_REQUESTS: f64 = 1.0;
-/// Whoever sent more than this part of what pushed a cold server over has done it.
+/// Senders that knew of the start are held responsible if they sent more than this share of the overload.
 const RESPONSIBLE_SHARE: f64 = 2.0 / 3.0;
-/// Two words of a start are of the same one if they differ by less: the rig's clock and the list's are read apart.
+/// Two start times closer than this are the same start: they may come from different clocks.
 const SAME_START_TOLERANCE_NS: Nanos = 500_000_000;
-/// Weight of the latest refresh in the reported utilisation.
+/// Weight of the latest sample in the moving average of the reported utilization.
 const UTILIZATION_WEIGHT: f64 = 0.5;
 
-/// What happens to work whose attempt is cancelled.
+/// What happens to the work of a cancelled attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelPolicy {
-    /// It goes on.
+    /// Continues.
     Ignore,
-    /// What has not begun is dropped; running work goes on.
+    /// Queued work is dropped; running work continues.
     DropQueued,
 }
 
-/// How a crowded server turns slow, and what ends that.
+/// Slowdown of a congested server, and when it recovers.
 #[derive(Clone, Copy, Debug)]
 pub struct Congestion {
-    /// Requests that wait for a core, for each core, from which on it is crowded.
+    /// Requests waiting for a core, per core, from which the server counts as overloaded.
     pub queued_per_core: f64,
-    /// How long it has to be crowded, in nanoseconds.
+    /// Overload must last this long for the slowdown to set in, in nanoseconds.
     pub onset: Nanos,
-    /// It turns this many times slower.
+    /// Factor by which the server is slowed down.
     pub slowdown: f64,
-    /// It recovers once its busy share has been below this ...
+    /// CPU utilization below which the server recovers.
     pub recovery_utilization: f64,
-    /// ... for so long, in nanoseconds, ...
+    /// How long the utilization must stay below `recovery_utilization`, in nanoseconds.
     pub recovery_time: Nanos,
-    /// ... or after this time at the latest.
+    /// Maximum duration of the slowdown, in nanoseconds.
     pub max_duration: Nanos,
 }
 
-/// How load is reported.
+/// How a server reports its load.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadReporting {
-    /// Between two refreshes, in nanoseconds.
+    /// Sampling period, in nanoseconds.
     pub period: Nanos,
-    /// A figure is told this long after its refresh, in nanoseconds.
+    /// Delay before a new sample is reported, in nanoseconds.
     pub delay: Nanos,
-    /// Relative spread of the noise on it.
+    /// Relative standard deviation of the noise added to a sample.
     pub noise: f64,
 }
 
-/// What a server is.
+/// Static properties of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerSpec {
-    /// Its zone, by position.
+    /// Index of its zone.
     pub zone: u32,
-    /// The group whose members share the keys that they have seen.
+    /// Group of servers that share one table of idempotency keys.
     pub cell: u64,
-    /// Its machine kind, by position.
+    /// Index of its machine kind.
     pub kind: u32,
-    /// How many requests compute at full speed.
+    /// Requests that can run on the CPU at full speed.
     pub cores: f64,
-    /// Of a core against the standard one.
+    /// Speed of a core relative to the standard core.
     pub speed: f64,
-    /// Requests in work at a time.
+    /// Maximum number of requests in progress.
     pub concurrency: usize,
-    /// Requests that wait for a slot; more are turned away.
+    /// Maximum number of queued requests; further ones are rejected.
     pub queue_capacity: usize,
-    /// Loss of efficiency for each further `thrash_at` requests held for each core.
+    /// Efficiency lost for each further `thrash_at` requests per core.
     pub thrash: f64,
-    /// Requests held for each core up to which none is lost.
+    /// Requests per core up to which no efficiency is lost.
     pub thrash_at: f64,
-    /// Share of its capacity that it starts with.
+    /// Share of its capacity right after a cold start.
     pub initial_capacity: f64,
-    /// It is warm so long after its start, in nanoseconds.
+    /// Duration of the warm-up after a cold start, in nanoseconds.
     pub slow_start_window: Nanos,
-    /// Share of its requests that fail by themselves.
+    /// Share of requests that fail without a fault.
     pub error_rate: f64,
-    /// What a cancel does.
+    /// How cancellation is handled.
     pub cancel_policy: CancelPolicy,
-    /// Whether what its client has given up is dropped before it begins.
+    /// Whether queued requests past their deadline are dropped.
     pub drops_expired: bool,
-    /// Most connections.
+    /// Maximum number of open connections.
     pub max_connections: usize,
-    /// Work of a new one on a standard core, in nanoseconds.
+    /// Work of accepting a new connection on a standard core, in nanoseconds.
     pub handshake_work: f64,
-    /// Share of the capacity that a full table of connections takes.
+    /// Share of the capacity lost when the connection table is full.
     pub connection_overhead: f64,
-    /// Whether and how crowding turns it slow.
+    /// Slowdown under congestion, if modelled.
     pub congestion: Option<Congestion>,
-    /// A cold one sent more than this multiple of its capacity ...
+    /// A cold server crashes if the work it receives within `overload_window` exceeds this multiple of its current
+    /// capacity.
     pub overload_factor: f64,
-    /// ... over this span, in nanoseconds, falls over.
+    /// Window of `overload_factor`, in nanoseconds.
     pub overload_window: Nanos,
-    /// Mean work of a request, in nanoseconds: with N of these in that budget it falls at more than N + 2 x root of
-    /// N + 2 of them, since sends come by chance. At 0 it falls a tenth and one request past the budget.
+    /// Mean work of a request, in nanoseconds. If N requests of it fit into the budget, the server crashes
+    /// above N + 2 * sqrt(N) + 2 of them, which allows for random arrivals. At 0 it crashes 10 % and one
+    /// request above the budget.
     pub mean_work: f64,
-    /// Load reports, if there are any.
+    /// Load reporting, if enabled.
     pub reporting: Option<LoadReporting>,
 }
 
@@ -139,16 +143,16 @@
     }
 }
 
-/// What a fault does to a server while it lasts. Neutral by default.
+/// Effects of the faults that are active on a server. The default is none.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerFault {
-    /// Runs this many times slower.
+    /// Factor by which the server is slowed down.
     pub slowdown: f64,
-    /// Share of the machine that another program takes.
+    /// Share of the CPU taken by another program.
     pub stolen_cpu: f64,
-    /// Takes requests and answers none.
+    /// Accepts requests and never responds.
     pub hung: bool,
-    /// Share of the requests that fail at once.
+    /// Share of requests that fail immediately.
     pub failure_rate: f64,
 }
 
@@ -158,46 +162,46 @@
     }
 }
 
-/// A request as a server sees it.
+/// A request as submitted to a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Job {
-    /// The driver's number for it, unique among those that this server holds.
+    /// Id, unique among the jobs that the server holds.
     pub id: u64,
-    /// Whom its answer is for, as the driver knows it.
+    /// Node that the response goes to.
     pub sender: u32,
-    /// To compute, on a standard core, in nanoseconds.
+    /// CPU time on a standard core, in nanoseconds.
     pub work: f64,
-    /// To wait on others after that, in nanoseconds.
+    /// Time spent waiting on downstream calls after the CPU phase, in nanoseconds.
     pub io_wait: Nanos,
-    /// When its client gives it up.
+    /// When the client gives up.
     pub not_after: Nanos,
-    /// A draw from 0 to 1 that decides whether it fails.
+    /// Uniform draw from 0 to 1 that decides whether the request fails.
     pub failure_draw: f64,
-    /// The server's last start, as its sender has been told of it.
+    /// The server's last start time known to the sender.
     pub known_start: Option<Nanos>,
 }
 
 /// How a job ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobOutcome {
-    /// It ran, and is answered.
+    /// Completed, with a response.
     Served,
-    /// It failed; it may have run.
+    /// Failed; it may have run.
     Error,
-    /// It was dropped before it began: it never ran.
+    /// Dropped from the queue: it never ran.
     Dropped,
 }
 
-/// Whether a request was taken in.
+/// Result of submitting a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It runs, or waits for a slot.
+    /// Running or queued.
     Accepted,
-    /// Turned away: it never ran.
+    /// Rejected because the queue is full: it never ran.
     Full,
-    /// It failed at once; it may have run.
+    /// Failed immediately; it may have run.
     Failed,
-    /// Its process is down: nobody answers.
+    /// The process is down and does not respond.
     Down,
 }
 
@@ -208,15 +212,15 @@
     Waiting,
 }
 
-/// A server's state. Every call is given the present; a time before the last one counts as that.
+/// State of a server. Time never goes backwards: an earlier `now` counts as the latest one seen.
 pub struct Server {
     spec: ServerSpec,
     fault: ServerFault,
     now: Nanos,
     up: bool,
-    /// Since when it has been up, unless it was warm from the beginning.
+    /// Time of the last cold start; `None` if warm from the beginning.
     started_at: Option<Nanos>,
-    /// Service that each request that computes has got so far, in nanoseconds of a standard core.
+    /// Cumulative service of each request in the CPU phase, in nanoseconds of a standard core.
     service_total: f64,
     jobs: HashMap<u64, (Job, Stage)>,
     cpu_phase: BinaryHeap<Reverse<(TotalF64, u64)>>,
@@ -225,16 +229,16 @@
     queue: VecDeque<u64>,
     slots_in_use: usize,
     connections: usize,
-    /// Work sent while cold, by time, and whether its sender knew of the start; the sum within the span decides
-    /// whether it falls over.
+    /// Work received within the overload window while cold, with its time and whether the sender knew of the
+    /// start.
     cold_work: VecDeque<(Nanos, f64, bool)>,
     crashed: bool,
-    /// Part of the work that pushed it over which came from senders that knew of its start.
+    /// Share of the overload that came from senders that knew of the start.
     informed_share: f64,
     overloaded_since: Option<Nanos>,
     congested_since: Option<Nanos>,
     calm_since: Option<Nanos>,
-    /// Core-nanoseconds in use since the last refresh of the report.
+    /// Core-nanoseconds used since the last load sample.
     busy_core_ns: f64,
     sampled_at: Nanos,
     util: f64,
@@ -243,7 +247,7 @@
 }
 
 impl Server {
-    /// A server that is up and warm.
+    /// Creates a server that is up and warm.
     pub fn new(spec: ServerSpec, now: Nanos) -> Self {
         Self {
             spec,
@@ -273,47 +277,48 @@
         }
     }
 
-    /// What it is.
+    /// Returns its static properties.
     pub fn spec(&self) -> &ServerSpec {
         &self.spec
     }
 
-    /// Whether its process runs.
+    /// Whether its process is running.
     pub fn is_up(&self) -> bool {
         self.up
     }
 
-    /// Whether it fell over while cold: it stays down until it is started again.
+    /// Whether it crashed from overload while cold. It stays down until it is started again.
     pub fn has_crashed(&self) -> bool {
         self.crashed
     }
 
-    /// Whether it was pushed over by those who had been told of its start: over two thirds of the work came from them.
+    /// Whether it crashed because of senders that knew of its start: more than two thirds of the work came
+    /// from them.
     pub fn overloaded_by_informed_senders(&self) -> bool {
         self.crashed && self.informed_share > RESPONSIBLE_SHARE
     }
 
-    /// Whether crowding has turned it slow.
+    /// Whether it is slowed down by congestion.
     pub fn is_congested(&self) -> bool {
         self.congested_since.is_some()
     }
 
-    /// Since when it has been up; none if it was warm from the beginning.
+    /// Time of the last cold start; `None` if warm from the beginning.
     pub fn started_at(&self) -> Option<Nanos> {
         self.started_at
     }
 
-    /// Requests that it holds.
+    /// Number of requests held, running or queued.
     pub fn job_count(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Changes at each stop and start: what was out on an earlier life is dead.
+    /// Incremented at each stop and start; attempts and connections of an earlier epoch are void.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Its process ends, and with it all that it held: these, in the order of their numbers.
+    /// Stops the process. Returns the jobs that were lost with it, ordered by id.
     pub fn stop(&mut self, now: Nanos) -> Vec<Job> {
         self.advance_clock(now);
         self.up = false;
@@ -327,7 +332,7 @@
         lost
     }
 
-    /// A process starts, cold or not. What the last one held is lost.
+    /// Starts the process. Returns the jobs that the previous process held.
     pub fn start(&mut self, now: Nanos, cold: bool) -> Vec<Job> {
         let lost = self.stop(now);
         self.up = true;
@@ -339,25 +344,25 @@
         lost
     }
 
-    /// Begins or ends a fault.
+    /// Sets the faults that are active on the server.
     pub fn set_fault(&mut self, now: Nanos, fault: ServerFault) {
         self.advance_clock(now);
         self.fault = fault;
     }
 
-    /// The fault that it has.
+    /// Returns the faults that are active on the server.
     pub fn fault(&self) -> ServerFault {
         self.fault
     }
 
-    /// Share of its capacity that it has by now.
+    /// Share of the capacity available, given the progress of the warm-up.
     pub fn capacity_share(&self, now: Nanos) -> f64 {
         let Some(started_at) = self.started_at else { return 1.0 };
         let progress = now.saturating_sub(started_at) as f64 / self.spec.slow_start_window.max(1) as f64;
         (self.spec.initial_capacity + (1.0 - self.spec.initial_capacity) * progress).min(1.0)
     }
 
-    /// A connection comes in; false where its table is full or its process down.
+    /// Accepts a connection. Returns false if the table is full or the process is down.
     pub fn connect(&mut self, now: Nanos) -> bool {
         self.advance_clock(now);
         let accepted = self.up && self.connections < self.spec.max_connections;
@@ -365,18 +370,18 @@
         accepted
     }
 
-    /// A connection has ended.
+    /// Closes a connection.
     pub fn disconnect(&mut self, now: Nanos) {
         self.advance_clock(now);
         self.connections = self.connections.saturating_sub(1);
     }
 
-    /// Whether a request with this luck would be answered, if it needed no work: so a repeat that its group knows is.
-    pub fn would_respond(&self, luck: f64) -> bool {
-        self.up && !self.crashed && !self.fault.hung && luck >= self.fault.failure_rate
+    /// Whether a request with this draw gets a response if it needs no work, as a duplicate does.
+    pub fn would_respond(&self, failure_draw: f64) -> bool {
+        self.up && !self.crashed && !self.fault.hung && failure_draw >= self.fault.failure_rate
     }
 
-    /// A request comes in, on a new connection or one that was there.
+    /// Submits a request, over a new or an existing connection.
     pub fn submit(&mut self, now: Nanos, mut job: Job, new_connection: bool) -> Admission {
         self.advance_clock(now);
         if !self.up {
@@ -405,7 +410,7 @@
         Admission::Accepted
     }
 
-    /// The attempt was withdrawn. Whether its work was dropped before it began.
+    /// Cancels a job. Returns whether it was dropped before it started.
     pub fn cancel(&mut self, now: Nanos, id: u64) -> bool {
         self.advance_clock(now);
         let is_queued = self.jobs.get(&id).is_some_and(|(_, stage)| *stage == Stage::Queued);
@@ -418,7 +423,7 @@
         false
     }
 
-    /// When something next happens here by itself.
+    /// Time of the next internal event.
     pub fn next_event(&self) -> Option<Nanos> {
         if !self.up {
             return None;
@@ -435,7 +440,7 @@
         Some(next.max(self.now))
     }
 
-    /// Lets time pass and tells what has ended by then, in order.
+    /// Advances to `now` and appends the jobs that ended, in order.
     pub fn advance(&mut self, now: Nanos, ended: &mut Vec<(Job, JobOutcome)>) {
         while let Some(next) = self.next_event().filter(|next| *next <= now) {
             self.advance_clock(next);
@@ -444,8 +449,8 @@
         self.advance_clock(now);
     }
 
-    /// Share of its cores in use as it is reported now, and never sooner than its delay tells. `noise` is a draw
-    /// from the standard normal distribution.
+    /// Reported CPU utilization, which lags behind by the reporting delay. `noise` is a draw from the
+    /// standard normal distribution.
     pub fn report(&mut self, now: Nanos, noise: f64) -> Option<f64> {
         let reporting = self.spec.reporting?;
         self.advance_clock(now);
@@ -461,7 +466,7 @@
         self.reported_util.map(|(before, from, after)| if now >= from { after } else { before })
     }
 
-    /// Work that it could do in a second at full size, on a standard core, in nanoseconds.
+    /// Work done per second when warm, in nanoseconds of a standard core.
     pub fn capacity(&self) -> f64 {
         self.spec.cores * self.spec.speed * SECOND
     }
@@ -473,12 +478,12 @@
         self.jobs.insert(job.id, (job, Stage::OnCpu));
     }
 
-    /// Whatever is due at the present moment.
+    /// Processes what is due at the current time.
     fn process_due(&mut self, ended: &mut Vec<(Job, JobOutcome)>) {
         if let Some(&Reverse((target, id))) = self.cpu_phase.peek()
             && self.cpu_phase_end().is_some_and(|at| at <= self.now)
         {
-            // Rounding may leave a hair's breadth: the total is what the request was waiting for.
+            // Avoids an endless loop if rounding leaves the total just below the target.
             self.service_total = self.service_total.max(target.0);
             self.cpu_phase.pop();
             self.cpu_jobs -= 1;
@@ -508,13 +513,13 @@
         self.update_congestion();
     }
 
-    /// The request that has waited on others long enough by now. One that hangs answers none.
+    /// The next job whose downstream wait has ended; none while the server hangs.
     fn finished_wait(&self) -> Option<u64> {
         let Reverse((at, id)) = self.wait_phase.peek()?;
         (*at <= self.now && !self.fault.hung).then_some(*id)
     }
 
-    /// Service a second of real time that each computing request gets at full warmth; 0 while it hangs.
+    /// Service per second that each request in the CPU phase gets when warm; 0 while the server hangs.
     fn service_rate(&self) -> f64 {
         if !self.up || self.fault.hung || self.cpu_jobs == 0 {
             return 0.0;
@@ -533,7 +538,7 @@
         self.spec.speed * efficiency * share
     }
 
-    /// When the next request is done computing.
+    /// Time at which the next request leaves the CPU phase.
     fn cpu_phase_end(&self) -> Option<Nanos> {
         let Reverse((target, _)) = self.cpu_phase.peek()?;
         let rate = self.service_rate();
@@ -544,28 +549,28 @@
         Some(self.now.saturating_add(self.ramp_time(service).ceil() as Nanos))
     }
 
-    /// How long it takes from now on until the ramp's integral is this, in nanoseconds.
-    fn ramp_time(&self, wanted: f64) -> f64 {
+    /// Time until the integral of the warm-up ramp from now on reaches `wanted`, in nanoseconds.
+    fn ramp_time(&self, service: f64) -> f64 {
         let (from, ramp) = (self.capacity_share(self.now), self.ramp_slope());
-        let Some(slope) = ramp else { return wanted };
+        let Some(slope) = ramp else { return service };
         let until_warm = (1.0 - from) / slope;
         let integral_until_warm = until_warm * (from + 1.0) / 2.0;
-        if wanted >= integral_until_warm {
-            return until_warm + (wanted - integral_until_warm);
+        if service >= integral_until_warm {
+            return until_warm + (service - integral_until_warm);
         }
-        // from * t + slope * t * t / 2 = wanted
-        ((from * from + 2.0 * slope * wanted).sqrt() - from) / slope
+        // Solves from * t + slope * t * t / 2 = wanted.
+        ((from * from + 2.0 * slope * service).sqrt() - from) / slope
     }
 
-    /// The ramp's integral over a span from now on, in nanoseconds.
-    fn ramp_integral(&self, span: f64) -> f64 {
+    /// Integral of the warm-up ramp over `span` from now on, in nanoseconds.
+    fn ramp_integral(&self, elapsed: f64) -> f64 {
         let from = self.capacity_share(self.now);
-        let Some(slope) = self.ramp_slope() else { return span };
-        let until_warm = ((1.0 - from) / slope).min(span);
-        until_warm * (from + slope * until_warm / 2.0) + (span - until_warm)
+        let Some(slope) = self.ramp_slope() else { return elapsed };
+        let until_warm = ((1.0 - from) / slope).min(elapsed);
+        until_warm * (from + slope * until_warm / 2.0) + (elapsed - until_warm)
     }
 
-    /// What the ramp gains in a nanosecond; none once it is warm.
+    /// Slope of the warm-up ramp per nanosecond; `None` once warm.
     fn ramp_slope(&self) -> Option<f64> {
         let gain = (1.0 - self.spec.initial_capacity) / self.spec.slow_start_window.max(1) as f64;
         (gain > 0.0 && self.capacity_share(self.now) < 1.0).then_some(gain)
@@ -582,7 +587,7 @@
         }
         self.busy_core_ns += elapsed * (self.cpu_jobs as f64).min(self.spec.cores);
         self.now = now;
-        // The total is a difference of ever larger figures: idle, it starts anew.
+        // Reset when idle, to keep the precision of the running total.
         if self.cpu_phase.is_empty() {
             self.service_total = 0.0;
         }
@@ -616,13 +621,13 @@
         if sent > limit {
             let informed_work: f64 = self.cold_work.iter().filter(|work| work.2).map(|work| work.1).sum();
             self.informed_share = informed_work / sent;
-            // What it held is lost without a word: the machine is gone, and its peers notice by themselves.
+            // The crash is silent: senders get no response for the jobs that it held.
             self.stop(self.now);
             self.crashed = true;
         }
     }
 
-    /// Requests that wait for a core, for each core.
+    /// Requests waiting for a core, per core.
     fn queued_per_core(&self) -> f64 {
         let waiting = (self.cpu_jobs + self.queue.len()) as f64 - self.spec.cores;
         waiting.max(0.0) / self.spec.cores
--- a/model/src/shard/driver.rs
+++ b/model/src/shard/driver.rs
@@ -1,9 +1,9 @@
-//! What a node's driver does between the module and the network, in virtual time.
+//! Simulation of a node's driver, between the load balancer and the network.
 
 use super::*;
 
 impl Shard {
-    /// Whether a node can take something now; what comes to a paused one waits for it.
+    /// Whether a node can handle an event now. Events for a paused node are kept until it resumes.
     pub(super) fn accepts_event(
         &mut self,
         node: u32,
@@ -84,11 +84,11 @@
                     let (at, incarnation) = (self.now + after, self.nodes[node as usize].incarnation);
                     self.schedule(at, SimEvent::Timer { node, incarnation, token });
                 }
-                // The list is pushed, no probes are made, and the log is for people.
+                // The list is pushed, probes are not simulated, and logs are ignored.
                 Action::Watch | Action::Fetch | Action::Probe { .. } | Action::Log(_) => {}
             }
         }
-        // The buffer is kept, unless what was done led to more.
+        // Reuses the buffer, unless the actions have led to further ones.
         if self.actions.is_empty() {
             self.actions = actions;
             self.actions.clear();
@@ -104,7 +104,7 @@
         let node_index = self.nodes[node as usize].index;
         let cell = spec.cell;
         let drain_notified_at = self.nodes[node as usize].drain_notified_at.get(&instance).copied();
-        // What is sent after the answer was given would be out beside nothing that anybody waits for.
+        // An attempt after the final answer would run for nobody.
         let is_open =
             |open_try: &&mut OpenTry| !open_try.answered && open_try.attempts.len() < 1 << ATTEMPT_BITS;
         let Some(open_try) = self.open_tries.get_mut(id).filter(is_open) else {
@@ -112,7 +112,7 @@
                 Rule::OneOutcome,
                 crate::invariants::wire_id(id),
                 now,
-                "sent after its end".into(),
+                "attempt started after the final answer".into(),
             );
             return;
         };
@@ -120,7 +120,7 @@
         let not_after = open_try.not_after;
         let request = open_try.request;
         let class = &shared.world.classes[request.class];
-        // One key for all tries of a client's request; each zone's clients count from 0.
+        // All tries of a client's request have the same key. Sequence numbers are per zone.
         let key = u64::from(request.zone) << (64 - ZONE_BITS) | request.number;
         let key =
             (class.idempotency == Idempotency::Keyed).then_some((DedupKey { cell, key }, class.dedup_window));
@@ -186,7 +186,7 @@
         );
     }
 
-    /// The attempt that was just launched is given up unless it is on its way by then.
+    /// Times out the attempt that was just started unless its request has been written by `send_by`.
     fn set_send_deadline(&mut self, id: u64, send_by: Nanos) {
         let Some(open_try) = self.open_tries.get(id) else { return };
         if let Some(attempt) = open_try.attempts.len().checked_sub(1)
@@ -199,7 +199,8 @@
         }
     }
 
-    /// An idle connection to this process, if there is one; the youngest, so that those in excess grow old.
+    /// Takes an idle connection to a process. The most recently used one is taken, so that excess ones time
+    /// out.
     pub(super) fn take_idle_connection(&mut self, node: u32, instance: u32) -> Option<u64> {
         let now = self.now;
         let found = {
@@ -236,14 +237,14 @@
         }
     }
 
-    /// When a link that is reset with this chance in a second breaks next.
+    /// Time until the next reset of a link with this probability of a reset per second.
     fn time_to_reset(&mut self, chance: f64) -> Nanos {
         let rate = -(-chance.min(0.999_999)).ln_1p();
         let drawn: f64 = rand_distr::Exp1.sample(&mut self.rng);
         crate::world::seconds((drawn / rate).min(1e6))
     }
 
-    /// An attempt's connection breaks. Its server learns of it in the same way as of one that was given up.
+    /// The connection of an attempt is reset. The server sees a closed connection, as after a cancellation.
     pub(super) fn connection_reset(&mut self, id: u64, attempt: u32) {
         let Some(open_try) = self.open_tries.get(id) else { return };
         let (node, incarnation) = (open_try.node, open_try.incarnation);
@@ -259,7 +260,8 @@
             return;
         }
         let (instance, request_written) = (current.instance, current.request_written);
-        // One that never came up for so long is taken for a silent machine's, and withdrawn as such.
+        // Attempts that have not connected for longer than this count as unreachable, which closes them in
+        // `settle`.
         if request_written || self.now.saturating_sub(current.sent_at) < UNREACHABLE_AFTER {
             let zone = self.shared.timeline.instances[instance as usize].zone;
             let delay = self.delay_to(zone);
@@ -334,7 +336,7 @@
         self.end_attempt(id, attempt, outcome, util);
     }
 
-    /// An attempt is over for its node, which closes its connection unless an answer came over it.
+    /// An attempt has ended for its node. Its connection is closed unless it got a response.
     pub(super) fn end_attempt(&mut self, id: u64, attempt: usize, outcome: Outcome, util: Option<f64>) {
         let now = self.now;
         let Some(open_try) = self.open_tries.get_mut(id) else { return };
@@ -376,7 +378,7 @@
         self.remove_if_done(id);
     }
 
-    /// A node gives the final answer, and its client gets it.
+    /// Sends the final answer to the client.
     pub(super) fn send_final_answer(&mut self, id: u64, answer: FinalAnswer, retry_after: Nanos) {
         let Some(open_try) = self.open_tries.get_mut(id).filter(|open_try| !open_try.answered) else {
             return;
@@ -398,7 +400,7 @@
         }
     }
 
-    /// The client's time is up: it closes its connection, by which its node learns of it.
+    /// The client times out and closes its connection.
     pub(super) fn client_timed_out(&mut self, id: u64) {
         let Some(open_try) = self.open_tries.get_mut(id).filter(|open_try| !open_try.client_done) else {
             return;
--- a/model/src/shard/faults.rs
+++ b/model/src/shard/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that begin and end.
+//! Start and end of faults.
 
 use super::*;
 use crate::timeline::Instance;
@@ -79,7 +79,7 @@
             }
             FaultAction::OrderZone(..) => {
                 for node in 0..self.nodes.len() as u32 {
-                    // A file reaches the machines of a fleet one after the other.
+                    // Configuration files are rolled out to the nodes one after the other.
                     let after = self.rng.random_range(0..SECOND);
                     let incarnation = self.nodes[node as usize].incarnation;
                     self.schedule(self.now + after, SimEvent::ZoneOverrides { node, incarnation });
@@ -97,7 +97,7 @@
         }
     }
 
-    /// The process that is at a place now, if it is in this zone.
+    /// Calls `then` with the current process of a server, if it is in this zone.
     pub(super) fn with_server(&mut self, server: usize, apply: impl FnOnce(&mut Self, u32)) {
         let timeline = &self.shared.timeline;
         let is_current = |i: &Instance| i.zone == self.zone && i.occupies(server, self.now);
--- a/model/src/shard/mod.rs
+++ b/model/src/shard/mod.rs
@@ -1,8 +1,8 @@
-//! One zone in virtual time: its nodes, its app servers and its clients, and the events between them.
+//! Discrete-event simulation of one zone: its nodes, app servers and clients.
 //!
-//! Zones are apart by the time that a message takes between them, so each can be played for that long by itself:
-//! what it has to tell the others goes into their mail and is taken in, in one fixed order, before the next such
-//! span. The result depends on the plan and the seed alone, not on how many threads play it.
+//! Messages between zones take at least the cross-zone delay, so each zone can run for that long on its own.
+//! Messages to other zones are exchanged after each such step, in a fixed order. The result therefore depends
+//! on the scenario and the seed, not on the number of threads.
 
 mod driver;
 mod faults;
@@ -32,95 +32,95 @@
 use crate::timeline::{DISCOVERY_END, Timeline};
 use crate::world::{FaultAction, LinkEnd, LinkFault, MS, SECOND, World, rng_stream};
 
-/// How long past a request's time its final answer may come.
+/// How long after its deadline a request may still be answered.
 pub const ANSWER_SLACK: Nanos = 20 * MS;
-/// Idle connections that a node keeps at most, and how long.
+/// Limits on the idle connections of a node: their number and their age.
 const MAX_IDLE_CONNECTIONS: usize = 512;
 const IDLE_TIMEOUT: Nanos = 7 * SECOND;
-/// A connection that is not up by then counts as failed.
+/// Connecting fails after this time.
 const CONNECT_TIMEOUT: Nanos = 200 * MS;
-/// One that is not up by then is to a machine that says nothing.
+/// A server that has not accepted a connection after this time counts as unreachable.
 const UNREACHABLE_AFTER: Nanos = 40 * MS;
-/// Bytes of a request or an answer on a link that lets so many pass in a second.
+/// Size of a request or response in bytes, for links with limited bandwidth.
 const MESSAGE_BYTES: f64 = 300.0;
-/// Times the way there and back that a new connection takes before its first request is on the way.
+/// One-way delays until the first request on a new connection arrives, its own included.
 const HANDSHAKE_ONE_WAY_DELAYS: u64 = 4;
-/// How long the front goes on sending to a dead node.
+/// Seconds until the load balancer in front of the nodes detects a dead node.
 const FRONT_DETECTION_S: Range = Range::new(1.1, 3.9);
-/// A client's way to a node.
+/// One-way delay between a client and a node.
 const CLIENT_DELAY: Nanos = MS / 2;
-/// Bits of a job's number that tell the attempt, and those that tell the zone of its node.
+/// Bits of a job id that hold the attempt number, and those that hold the zone of the node.
 const ATTEMPT_BITS: u32 = 4;
 const ZONE_BITS: u32 = 6;
 
-/// What all zones share.
+/// State shared by all zones.
 pub struct SharedState {
-    /// The world.
+    /// The simulated world.
     pub world: World,
-    /// What is known of it beforehand.
+    /// The precomputed timeline.
     pub timeline: Timeline,
-    /// Nodes handle what has come in once in so long; 0 for at once.
+    /// Interval at which nodes handle events in batches; 0 to handle each one immediately.
     pub tick: Nanos,
-    /// When no further requests come.
+    /// End of the load.
     pub end: Nanos,
 }
 
-/// A request on its way to a server's process.
+/// A request sent to a server process.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RequestMessage {
     instance: u32,
-    /// The process's life that the connection is to; none for a new connection.
+    /// Epoch of the process that the connection was opened to; `None` for a new connection.
     server_epoch: Option<u64>,
     job: Job,
-    /// Of a keyed one, its key and for how long its repeats are dropped.
+    /// Key and deduplication window of a keyed request.
     key: Option<(DedupKey, Nanos)>,
 }
 
 #[derive(Clone, Debug)]
 pub(crate) enum SimEvent {
-    /// The next request of this zone's clients is due.
+    /// A client request is due.
     RequestDue(ClientRequest),
-    /// A client comes again.
+    /// A client retries.
     Retry(ClientRequest, u32),
-    /// A try reaches its node.
+    /// A try arrives at its node.
     TryArrived { id: u64 },
-    /// A client gives a try up.
+    /// A client times out a try.
     ClientTimeout { id: u64 },
-    /// A try's account is closed.
+    /// The time for a try's final answer is up.
     TryExpired { id: u64 },
-    /// An attempt's connection breaks on its way.
+    /// The connection of an attempt is reset.
     ConnectionReset { id: u64, attempt: u32 },
-    /// An attempt has waited long enough.
+    /// An attempt times out, or only its connection does.
     AttemptTimeout { id: u64, attempt: u32, connect_only: bool },
-    /// A node's timer.
+    /// A timer of a node fires.
     Timer { node: u32, incarnation: u32, token: u64 },
-    /// A node is told of changes of the list.
+    /// A node is notified of list changes.
     ListNotification { node: u32, incarnation: u32 },
-    /// A node is told of the operator's orders.
+    /// A node receives the operator's traffic shares.
     ZoneOverrides { node: u32, incarnation: u32 },
-    /// A request reaches a server.
+    /// A request arrives at a server.
     RequestArrived(RequestMessage),
-    /// A server learns that an attempt was given up: its connection has closed.
+    /// A server sees that the connection of an attempt was closed.
     AttemptClosed { instance: u32, job: u64 },
-    /// An idle connection to a server has closed.
+    /// An idle connection to a server is closed.
     IdleClosed { instance: u32, server_epoch: u64 },
-    /// Something happens at a server by itself.
+    /// A server has an internal event.
     ServerWakeup { instance: u32 },
-    /// A connection has come up, and the request is written.
+    /// A connection is established and the request written.
     ConnectionUp { job: u64 },
-    /// An attempt's end reaches its node.
+    /// The result of an attempt arrives at its node.
     AttemptResult { job: u64, outcome: Outcome, ran: bool, util: Option<f64>, kept_epoch: Option<u64> },
     /// A fault begins or ends.
     Fault { fault: u32, begins: bool },
-    /// A server's process starts for the first time, or ends for good.
+    /// The process of a server starts for the first time, or ends for good.
     ServerLifecycle { instance: u32 },
-    /// A node's process starts.
+    /// A node starts.
     NodeStart { node: u32 },
-    /// A node's process ends after it was told to.
+    /// A node that was told to terminate ends.
     NodeStop { node: u32 },
-    /// A node is let go on.
+    /// A paused node resumes.
     NodeResume { node: u32 },
-    /// Nodes handle what has come in.
+    /// Nodes handle the pending events.
     Tick,
 }
 
@@ -155,17 +155,17 @@
     terminating: bool,
     paused: bool,
     incarnation: u32,
-    /// When the front learns that it is dead; none while it is taken for alive.
+    /// When the front load balancer detects that the node is dead; `None` while it is considered alive.
     avoided_from: Option<Nanos>,
     list_cursor: usize,
     drain_notified_at: HashMap<u32, Nanos>,
-    /// The last start of each process that it was told of.
+    /// Start times of server processes known to the node.
     known_starts: HashMap<u32, Nanos>,
     idle_connections: Vec<IdleConnection>,
     deferred_events: Vec<SimEvent>,
 }
 
-/// A message to another zone.
+/// An event for another zone.
 pub(crate) struct OutgoingEvent {
     pub(crate) zone: u32,
     pub(crate) at: Nanos,
@@ -198,7 +198,7 @@
     }
 }
 
-/// One zone.
+/// Simulation of one zone.
 pub struct Shard {
     shared: Arc<SharedState>,
     zone: u32,
@@ -210,7 +210,7 @@
     nodes: Vec<Node>,
     servers: HashMap<u32, Server>,
     wakeups: HashMap<u32, Nanos>,
-    /// What this zone's groups have seen.
+    /// Idempotency keys seen by this zone's servers.
     dedup: DedupTable,
     unreachable: bool,
     open_tries: Slab<OpenTry>,
@@ -219,36 +219,36 @@
     tick_scheduled: bool,
     actions: Vec<(usize, Action)>,
     ended_jobs: Vec<(Job, JobOutcome)>,
-    /// To other zones.
+    /// Events for other zones.
     pub(crate) outbox: Vec<OutgoingEvent>,
-    /// What this zone's requests come to.
+    /// Statistics of this zone's requests.
     pub stats: RunStats,
-    /// What was checked.
+    /// Checks of this zone's requests.
     pub invariants: InvariantChecker,
-    /// Events so far.
+    /// Number of events processed.
     pub events_processed: u64,
-    /// Why the module can't go on.
+    /// Error that aborted the simulation.
     pub error: Option<String>,
     front_detection_delay: Nanos,
 }
 
-/// A job's number, unique over all zones.
+/// Id of a job, unique across zones.
 fn job_id(zone: u32, id: u64, attempt: usize) -> u64 {
     u64::from(zone) << (64 - ZONE_BITS) | id << ATTEMPT_BITS | attempt as u64
 }
 
-/// How long a message takes over a link that lets so many bytes pass in a second.
+/// Time to transfer a message at `rate` bytes per second.
 fn transfer_time(rate: f64) -> Nanos {
     crate::world::seconds(MESSAGE_BYTES / rate.max(1.0))
 }
 
-/// The request and the attempt that a job is of.
+/// The try and the attempt that a job belongs to.
 fn try_of_job(job: u64) -> (u64, usize) {
     ((job << ZONE_BITS) >> (ZONE_BITS + ATTEMPT_BITS), (job & ((1 << ATTEMPT_BITS) - 1)) as usize)
 }
 
 impl Shard {
-    /// A zone before its load starts: its nodes know the list, its servers are warm.
+    /// Creates a zone before its load starts: nodes know the backend list and servers are warm.
     pub fn new(shared: Arc<SharedState>, zone: u32, balancers: Box<dyn BalancerSet>) -> Self {
         let (world, timeline) = (&shared.world, &shared.timeline);
         let start = timeline.start;
@@ -337,12 +337,12 @@
         shard
     }
 
-    /// When this zone next has something to do.
+    /// Time of the next event.
     pub fn next_event_at(&self) -> Option<Nanos> {
         self.event_queue.peek().map(|Reverse(queued)| queued.at)
     }
 
-    /// Plays everything before `until`.
+    /// Processes all events before `until`.
     pub fn run_until(&mut self, until: Nanos) {
         while self.error.is_none() && self.event_queue.peek().is_some_and(|Reverse(queued)| queued.at < until)
         {
@@ -353,12 +353,12 @@
         }
     }
 
-    /// Takes mail in. All zones' mail of one span comes in one fixed order.
+    /// Schedules an event from another zone. The order of calls must be deterministic.
     pub(crate) fn schedule_remote(&mut self, at: Nanos, event: SimEvent) {
         self.schedule(at, event);
     }
 
-    /// Servers that are up, and those that crowding has turned slow.
+    /// Number of servers that are up, and those of them slowed down by congestion.
     pub fn servers_up(&self) -> (usize, usize) {
         let up = self.servers.values().filter(|server| server.is_up());
         (up.clone().count(), up.filter(|server| server.is_congested()).count())
@@ -381,7 +381,7 @@
         }
     }
 
-    /// One way between two zones, with its jitter, which never makes it shorter than the span between zones.
+    /// One-way delay to a zone. Jitter only adds to it, so that it is never below the lookahead.
     fn delay_to(&mut self, zone: u32) -> Nanos {
         let delay = self.shared.world.one_way_delay(self.zone, zone);
         delay + (delay as f64 * self.shared.world.jitter * self.rng.random::<f64>()) as Nanos
--- a/model/src/shard/processes.rs
+++ b/model/src/shard/processes.rs
@@ -1,4 +1,4 @@
-//! Nodes' processes, and the list as each is told of it.
+//! Node processes and their view of the discovery list.
 
 use super::*;
 
@@ -28,7 +28,8 @@
         if !overrides.is_empty() {
             self.notify_balancer(node, Event::ZoneOverrides(overrides));
         }
-        // It comes with the list as it was when it was last told, and gets what is new when its next word is due.
+        // A node starts with the list of one second ago and receives the later changes with the next
+        // notification.
         let (members, list_cursor, drain_notified_at) = self.list_at(self.now.saturating_sub(SECOND));
         let node_state = &mut self.nodes[node as usize];
         (node_state.list_cursor, node_state.drain_notified_at) = (list_cursor, drain_notified_at);
@@ -38,7 +39,7 @@
         self.schedule_list_notification(node);
     }
 
-    /// The list as it was then, how many changes are in it, and who drained or was gone.
+    /// The list at time `then`, the number of changes applied, and the servers that drain.
     pub(super) fn list_at(&self, then: Nanos) -> (Vec<Member>, usize, HashMap<u32, Nanos>) {
         let timeline = &self.shared.timeline;
         let mut members: Vec<Member> = timeline.initial_members.clone();
@@ -54,7 +55,7 @@
         (members.clone(), change_count, draining.map(|member| (member.backend.0, self.now)).collect())
     }
 
-    /// Sees to it that a node is told of the next change.
+    /// Schedules the notification of the next list change.
     pub(super) fn schedule_list_notification(&mut self, node: u32) {
         let Some(change) = self.shared.timeline.changes.get(self.nodes[node as usize].list_cursor) else {
             return;
@@ -152,7 +153,7 @@
     }
 }
 
-/// The process that a line tells the start of, and when that was.
+/// Id and start time of a process whose start is listed.
 fn listed_start(member: &Member) -> Option<(u32, Nanos)> {
     Some((member.backend.0, member.online_since?))
 }
--- a/model/src/shard/servers.rs
+++ b/model/src/shard/servers.rs
@@ -1,4 +1,4 @@
-//! App servers as the network meets them.
+//! App servers on the simulated network.
 
 use super::*;
 
@@ -104,7 +104,7 @@
         self.schedule_in_zone(node_zone, self.now + delay, event);
     }
 
-    /// Lets a server's time pass, sends its answers, and sees to it that it wakes again.
+    /// Advances a server, sends its responses and schedules its next event.
     pub(super) fn advance_server(&mut self, instance: u32) {
         let now = self.now;
         let mut ended_jobs = std::mem::take(&mut self.ended_jobs);
@@ -152,7 +152,7 @@
         self.send_to_node(instance_info.server, job.sender, node_zone, event);
     }
 
-    /// Connections to a process break as it ends: whoever waits for an answer learns that it will not come.
+    /// A process has ended and its connections are reset.
     pub(super) fn reset_connections(&mut self, instance: u32, lost: Vec<Job>) {
         self.wakeups.remove(&instance);
         lost.iter().for_each(|job| self.dedup.job_ended((instance, job.id), false));
--- a/model/src/simulation.rs
+++ b/model/src/simulation.rs
@@ -1,5 +1,5 @@
-//! A whole fleet in virtual time: all zones side by side, the same to the bit for the same plan and seed, on however
-//! many threads.
+//! Simulation of a whole fleet in virtual time. Zones run in parallel; the result is bit-identical for the
+//! same scenario and seed on any number of threads.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Barrier, Mutex, PoisonError};
@@ -15,41 +15,41 @@
 use crate::timeline::Timeline;
 use crate::world::{SECOND, World};
 
-/// Virtual time starts here: long enough after 0 that servers may have started before.
+/// Start of virtual time, far enough from 0 for servers to have started earlier.
 const START: Nanos = 1_000 * SECOND;
 
-/// How a plan is played.
+/// Options of a simulation.
 #[derive(Clone, Copy, Debug)]
 pub struct SimulationOptions {
-    /// For how long requests come.
+    /// How long requests arrive.
     pub load_duration: Nanos,
-    /// Nodes handle what has come in once in so long; 0 for at once.
+    /// Interval at which nodes handle events in batches; 0 to handle each one immediately.
     pub tick: Nanos,
-    /// Threads to play on, at most one for each zone.
+    /// Number of threads, at most one per zone.
     pub threads: usize,
 }
 
-/// What a run came to.
+/// Result of a simulation.
 pub struct SimulationResult {
-    /// The world that was played.
+    /// The simulated world.
     pub world: World,
-    /// Counts, worth and delays.
+    /// Statistics.
     pub stats: RunStats,
-    /// What was checked.
+    /// Results of the checks.
     pub invariants: InvariantChecker,
-    /// Events that were played.
+    /// Number of events processed.
     pub events: u64,
-    /// Servers that were up at the end, and those of them that crowding had turned slow.
+    /// Servers up at the end, and those of them slowed down by congestion.
     pub servers_up: (usize, usize),
 }
 
 impl SimulationResult {
-    /// The figures by name, the unit in the name.
+    /// Measures by name, with the unit in the name.
     pub fn measures(&self) -> BTreeMap<String, f64> {
         self.stats.measures(&self.world, 0)
     }
 
-    /// A number that tells whether two runs were the same.
+    /// Hash of the result, to compare two runs.
     pub fn fingerprint(&self) -> u64 {
         let mut hash = 0xcbf2_9ce4_8422_2325u64;
         let mut mix = |value: u64| {
@@ -70,57 +70,63 @@
     }
 }
 
-/// Plays a checked plan on this build's own decisions.
-pub fn simulate(plan: &Scenario, seed: u64, options: SimulationOptions) -> Result<SimulationResult, String> {
-    simulate_with(plan, seed, options, |_| Ok(Box::<LocalBalancers>::default()))
+/// Simulates a validated scenario with the load balancers of this build.
+pub fn simulate(
+    scenario: &Scenario,
+    seed: u64,
+    options: SimulationOptions,
+) -> Result<SimulationResult, String> {
+    simulate_with(scenario, seed, options, |_| Ok(Box::<LocalBalancers>::default()))
 }
 
-/// Plays a checked plan, with the decisions that `module` makes for each zone.
+/// Simulates a validated scenario with the load balancers that `balancers` creates for each zone.
 pub fn simulate_with(
-    plan: &Scenario,
+    scenario: &Scenario,
     seed: u64,
     options: SimulationOptions,
     mut balancers: impl FnMut(u32) -> Result<Box<dyn BalancerSet>, String>,
 ) -> Result<SimulationResult, String> {
-    let world = World::sample(plan, seed);
+    let world = World::sample(scenario, seed);
     let timeline = Timeline::new(&world, START);
     let end = START + options.load_duration;
-    let longest = world.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
-    let stop = end + longest + ANSWER_SLACK + SECOND;
-    // No message between zones is faster than this.
+    let max_deadline = world.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
+    let stop = end + max_deadline + ANSWER_SLACK + SECOND;
+    // Lower bound of the delay of messages between zones.
     let zones = world.zones.len() as u32;
     let lookahead = if zones > 1 { world.cross_zone_delay.max(1) } else { stop };
-    let common = Arc::new(SharedState { world, timeline, tick: options.tick, end });
+    let shared = Arc::new(SharedState { world, timeline, tick: options.tick, end });
     let mut shards = Vec::new();
     for zone in 0..zones {
-        shards.push(Shard::new(common.clone(), zone, balancers(zone)?));
+        shards.push(Shard::new(shared.clone(), zone, balancers(zone)?));
     }
     let shards = run_shards(shards, lookahead, stop, options.threads.clamp(1, zones as usize));
     let mut merged: Option<(RunStats, InvariantChecker)> = None;
     let (mut events, mut servers_up) = (0, (0, 0));
     for shard in shards {
-        if let Some(problem) = shard.error {
-            return Err(problem);
+        if let Some(error) = shard.error {
+            return Err(error);
         }
         events += shard.events_processed;
         let (up, congested) = shard.servers_up();
         servers_up = (servers_up.0 + up, servers_up.1 + congested);
         match merged.as_mut() {
             None => merged = Some((shard.stats, shard.invariants)),
-            Some((tally, ledger)) => {
-                tally.merge(&shard.stats);
-                ledger.merge(&shard.invariants);
+            Some((stats, invariants)) => {
+                stats.merge(&shard.stats);
+                invariants.merge(&shard.invariants);
             }
         }
     }
-    let (tally, ledger) = merged.ok_or("no zone")?;
-    Ok(SimulationResult { world: common.world.clone(), stats: tally, invariants: ledger, events, servers_up })
+    let (stats, invariants) = merged.ok_or("the scenario has no zones")?;
+    Ok(SimulationResult { world: shared.world.clone(), stats, invariants, events, servers_up })
 }
 
-/// Plays all zones in spans no longer than a message between them takes.
+/// Runs all zones in steps no longer than the lookahead (conservative synchronization).
 fn run_shards(mut shards: Vec<Shard>, lookahead: Nanos, stop: Nanos, threads: usize) -> Vec<Shard> {
     if threads <= 1 {
-        while let Some(from) = shards.iter().filter_map(Shard::next_event_at).min().filter(|at| *at < stop) {
+        while let Some(from) =
+            shards.iter().filter_map(Shard::next_event_at).min().filter(|next| *next < stop)
+        {
             let until = (from + lookahead).min(stop);
             let mut mail: Vec<Vec<OutgoingEvent>> = Vec::new();
             for shard in &mut shards {
@@ -139,7 +145,7 @@
     let zones = shards.len();
     let barrier = Barrier::new(threads);
     let outboxes: Vec<Mutex<Vec<OutgoingEvent>>> = (0..zones).map(|_| Mutex::default()).collect();
-    let next: Vec<Mutex<Option<Nanos>>> =
+    let next_event_at: Vec<Mutex<Option<Nanos>>> =
         shards.iter().map(|shard| Mutex::new(shard.next_event_at())).collect();
     let mut assignments: Vec<Vec<(usize, Shard)>> = (0..threads).map(|_| Vec::new()).collect();
     for (zone, shard) in shards.into_iter().enumerate() {
@@ -147,10 +153,13 @@
     }
     let worker = |mut own: Vec<(usize, Shard)>| {
         loop {
-            let from = next.iter().filter_map(|at| *at.lock().unwrap_or_else(PoisonError::into_inner)).min();
-            // All hands have read the same before any of them plays on.
+            let from = next_event_at
+                .iter()
+                .filter_map(|next| *next.lock().unwrap_or_else(PoisonError::into_inner))
+                .min();
+            // All threads must read the same times before any of them continues.
             barrier.wait();
-            let Some(from) = from.filter(|at| *at < stop) else { return own };
+            let Some(from) = from.filter(|next| *next < stop) else { return own };
             let until = (from + lookahead).min(stop);
             for (zone, shard) in &mut own {
                 shard.run_until(until);
@@ -165,15 +174,15 @@
                         shard.schedule_remote(mail.at, mail.event);
                     }
                 }
-                let at = if shard.error.is_some() { Some(stop) } else { shard.next_event_at() };
-                *next[*zone].lock().unwrap_or_else(PoisonError::into_inner) = at;
+                let next = if shard.error.is_some() { Some(stop) } else { shard.next_event_at() };
+                *next_event_at[*zone].lock().unwrap_or_else(PoisonError::into_inner) = next;
             }
             barrier.wait();
         }
     };
     let mut done: Vec<(usize, Shard)> = thread::scope(|scope| {
         let running: Vec<_> = assignments.into_iter().map(|own| scope.spawn(|| worker(own))).collect();
-        running.into_iter().filter_map(|hand| hand.join().ok()).flatten().collect()
+        running.into_iter().filter_map(|thread| thread.join().ok()).flatten().collect()
     });
     done.sort_by_key(|(zone, _)| *zone);
     done.into_iter().map(|(_, shard)| shard).collect()
--- a/model/src/slab.rs
+++ b/model/src/slab.rs
@@ -1,6 +1,6 @@
-//! Numbers for things that come and go, none of them used twice.
+//! A table with generational keys.
 
-/// A table whose keys hold a place and a generation.
+/// A table whose keys hold an index and a generation, so that a key is never reused.
 pub struct Slab<T> {
     entries: Vec<(u32, Option<T>)>,
     free: Vec<u32>,
@@ -12,11 +12,11 @@
     }
 }
 
-/// Bits of a key that hold the place.
+/// Bits of a key that hold the index.
 const INDEX_BITS: u32 = 28;
 
 impl<T> Slab<T> {
-    /// Puts a thing in and tells its key.
+    /// Inserts a value and returns its key.
     pub fn insert(&mut self, value: T) -> u64 {
         match self.free.pop() {
             Some(index) => {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The thing of this key, unless it has gone.
+    /// Returns the value of a key, unless it was removed.
     pub fn get(&self, target: u64) -> Option<&T> {
         let (generation, slot) = self.entries.get(index(target))?;
         slot.as_ref().filter(|_| key(index(target) as u32, *generation) == target)
@@ -43,7 +43,7 @@
         if key(index(target) as u32, *generation) == target { slot.as_mut() } else { None }
     }
 
-    /// Takes a thing out; its key is not used again.
+    /// Removes and returns a value.
     pub fn remove(&mut self, target: u64) -> Option<T> {
         self.get(target)?;
         let (generation, slot) = &mut self.entries[index(target)];
@@ -52,7 +52,7 @@
         slot.take()
     }
 
-    /// Every thing with its key, by place.
+    /// All values with their keys, by index.
     pub fn iter(&self) -> impl Iterator<Item = (u64, &T)> {
         self.entries
             .iter()
--- a/model/src/stats.rs
+++ b/model/src/stats.rs
@@ -1,4 +1,4 @@
-//! What a run comes to: counts, worth, delays from the moment a request was due, and their course by the second.
+//! Statistics of a run: outcome counts, value, and latency measured from the time a request was due.
 
 use std::collections::BTreeMap;
 
@@ -8,39 +8,39 @@
 use crate::clients::ClientRequest;
 use crate::world::{SECOND, World};
 
-/// Delays are kept from a microsecond to ten minutes, to three digits.
+/// Latency histograms range from 1 us to 10 min with three significant digits.
 const MAX_LATENCY_US: u64 = 600_000_000;
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// How a client's request ended, over all its tries.
+/// Final outcome of a client's request, over all its tries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
     /// Served.
     Served,
-    /// Refused at the last.
+    /// The last try was rejected.
     Rejected,
-    /// Failed, or given up.
+    /// Failed or timed out.
     Failed,
-    /// Nobody took it.
+    /// No node could be reached.
     Unreachable,
 }
 
-/// A second of a run.
+/// Outcome counts of one second or one class.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct OutcomeCounts {
-    /// Requests that were due in it.
+    /// Requests that were due.
     pub requests: u64,
-    /// Of these, served within their aim.
+    /// Requests served within their latency target.
     pub in_time: u64,
-    /// Served, but late.
+    /// Requests served after their latency target.
     pub late: u64,
-    /// Refused.
+    /// Requests rejected.
     pub rejected: u64,
-    /// Failed, given up or not taken.
+    /// Requests that failed, timed out or reached no node.
     pub failed: u64,
-    /// Worth asked for.
+    /// Value of all requests.
     pub value: f64,
-    /// Worth earned.
+    /// Value earned by the requests served.
     pub earned_value: f64,
 }
 
@@ -56,39 +56,39 @@
     }
 }
 
-/// What a run comes to.
+/// Statistics of a run.
 #[derive(Clone)]
 pub struct RunStats {
     start: Nanos,
-    /// By the second in which each request was due.
+    /// By the second in which a request was due.
     pub per_second: Vec<OutcomeCounts>,
     /// By class.
     pub per_class: Vec<OutcomeCounts>,
-    /// Delays of what was served, from the moment it was due, in microseconds.
+    /// Latency of requests served, in microseconds.
     pub served_latency: Histogram<u64>,
-    /// Delays of all that ended, in microseconds.
+    /// Latency of all requests, in microseconds.
     pub total_latency: Histogram<u64>,
-    /// Tries that clients made.
+    /// Tries made by clients.
     pub tries: u64,
-    /// Attempts that nodes made.
+    /// Attempts made by nodes.
     pub attempts: u64,
-    /// Of these, to another zone than the node's.
+    /// Attempts to a zone other than the node's.
     pub cross_zone_attempts: u64,
-    /// Connections that nodes opened.
+    /// Connections opened by nodes.
     pub connections_opened: u64,
-    /// Keyed repeats that a group knew, and answered without running them.
+    /// Repeats of keyed requests that were answered without running again.
     pub duplicates_dropped: u64,
 }
 
 fn histogram() -> Histogram<u64> {
-    // The bounds are constants that the library takes; a plain histogram of as many digits grows by itself.
+    // The bounds are valid constants; the fallback is an auto-resizing histogram of the same precision.
     Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS).unwrap_or_else(|_| {
         Histogram::new(SIGNIFICANT_DIGITS).unwrap_or_else(|_| unreachable!("three digits are fine"))
     })
 }
 
 impl RunStats {
-    /// Nothing yet, from this time on.
+    /// Creates empty statistics that start at `start`.
     pub fn new(world: &World, start: Nanos) -> Self {
         Self {
             start,
@@ -104,13 +104,13 @@
         }
     }
 
-    /// A request has ended for good.
+    /// Records the final outcome of a request.
     pub fn record(&mut self, world: &World, request: &ClientRequest, outcome: RequestOutcome, now: Nanos) {
         let class = &world.classes[request.class];
         let latency = now.saturating_sub(request.due_at);
         let in_time = outcome == RequestOutcome::Served && latency <= class.latency_target;
         let late = outcome == RequestOutcome::Served && !in_time;
-        let earned = match outcome {
+        let earned_value = match outcome {
             RequestOutcome::Served if in_time => class.value,
             RequestOutcome::Served => class.value * class.late_value_share,
             _ => 0.0,
@@ -122,13 +122,13 @@
             rejected: (outcome == RequestOutcome::Rejected).into(),
             failed: matches!(outcome, RequestOutcome::Failed | RequestOutcome::Unreachable).into(),
             value: class.value,
-            earned_value: earned,
+            earned_value,
         };
-        let at = (request.due_at.saturating_sub(self.start) / SECOND) as usize;
-        if self.per_second.len() <= at {
-            self.per_second.resize(at + 1, OutcomeCounts::default());
+        let second = (request.due_at.saturating_sub(self.start) / SECOND) as usize;
+        if self.per_second.len() <= second {
+            self.per_second.resize(second + 1, OutcomeCounts::default());
         }
-        self.per_second[at].add(&counts);
+        self.per_second[second].add(&counts);
         self.per_class[request.class].add(&counts);
         self.total_latency.saturating_record((latency / 1000).max(1));
         if outcome == RequestOutcome::Served {
@@ -136,14 +136,14 @@
         }
     }
 
-    /// Adds another part of the same run.
+    /// Adds the statistics of another part of the same run.
     pub fn merge(&mut self, other: &Self) {
         if self.per_second.len() < other.per_second.len() {
             self.per_second.resize(other.per_second.len(), OutcomeCounts::default());
         }
         self.per_second.iter_mut().zip(&other.per_second).for_each(|(own, other)| own.add(other));
         self.per_class.iter_mut().zip(&other.per_class).for_each(|(own, other)| own.add(other));
-        // Of one shape, so that no value can be out of range.
+        // Both histograms have the same bounds, so adding does not fail.
         let _ = self.served_latency.add(&other.served_latency);
         let _ = self.total_latency.add(&other.total_latency);
         self.tries += other.tries;
@@ -153,55 +153,56 @@
         self.duplicates_dropped += other.duplicates_dropped;
     }
 
-    /// All seconds together.
+    /// Sums over all seconds.
     pub fn total(&self) -> OutcomeCounts {
         let mut total = OutcomeCounts::default();
         self.per_second.iter().for_each(|second| total.add(second));
         total
     }
 
-    /// The figures by name, the unit in the name; `skip` seconds at the start are left out of the worst window.
+    /// Measures by name, with the unit in the name. The first `skip` seconds are left out of the worst
+    /// window.
     pub fn measures(&self, world: &World, skip: usize) -> BTreeMap<String, f64> {
         let total = self.total();
         let share = |part: u64, of: u64| if of > 0 { part as f64 / of as f64 } else { 0.0 };
         let mut measures = BTreeMap::new();
-        let mut put = |name: &str, value: f64| {
+        let mut insert = |name: &str, value: f64| {
             measures.insert(name.to_owned(), value);
         };
-        put("asked", total.requests as f64);
-        put("served_in_time_share", share(total.in_time, total.requests));
-        put("served_late_share", share(total.late, total.requests));
-        put("refused_share", share(total.rejected, total.requests));
-        put("failed_share", share(total.failed, total.requests));
-        put("worth_share", if total.value > 0.0 { total.earned_value / total.value } else { 0.0 });
-        put("asked_per_s", total.requests as f64 / self.per_second.len().max(1) as f64);
-        put("latency_p50_ms", self.served_latency.value_at_quantile(0.5) as f64 / 1000.0);
-        put("latency_p90_ms", self.served_latency.value_at_quantile(0.9) as f64 / 1000.0);
-        put("latency_p99_ms", self.served_latency.value_at_quantile(0.99) as f64 / 1000.0);
-        put("tries_per_request", self.tries as f64 / total.requests.max(1) as f64);
-        put("attempts_per_request", self.attempts as f64 / total.requests.max(1) as f64);
-        put("crossing_share", share(self.cross_zone_attempts, self.attempts));
-        put("connections_per_request", self.connections_opened as f64 / total.requests.max(1) as f64);
-        put("repeats_dropped", self.duplicates_dropped as f64);
+        insert("asked", total.requests as f64);
+        insert("served_in_time_share", share(total.in_time, total.requests));
+        insert("served_late_share", share(total.late, total.requests));
+        insert("refused_share", share(total.rejected, total.requests));
+        insert("failed_share", share(total.failed, total.requests));
+        insert("worth_share", if total.value > 0.0 { total.earned_value / total.value } else { 0.0 });
+        insert("asked_per_s", total.requests as f64 / self.per_second.len().max(1) as f64);
+        insert("latency_p50_ms", self.served_latency.value_at_quantile(0.5) as f64 / 1000.0);
+        insert("latency_p90_ms", self.served_latency.value_at_quantile(0.9) as f64 / 1000.0);
+        insert("latency_p99_ms", self.served_latency.value_at_quantile(0.99) as f64 / 1000.0);
+        insert("tries_per_request", self.tries as f64 / total.requests.max(1) as f64);
+        insert("attempts_per_request", self.attempts as f64 / total.requests.max(1) as f64);
+        insert("crossing_share", share(self.cross_zone_attempts, self.attempts));
+        insert("connections_per_request", self.connections_opened as f64 / total.requests.max(1) as f64);
+        insert("repeats_dropped", self.duplicates_dropped as f64);
         for (class, counts) in world.classes.iter().zip(&self.per_class) {
-            put(&format!("worth_share.{}", class.name), counts.earned_value / counts.value.max(1e-9));
+            insert(&format!("worth_share.{}", class.name), counts.earned_value / counts.value.max(1e-9));
         }
-        put("worst_10s_worth_share", self.worst_window(10, skip));
+        insert("worst_10s_worth_share", self.worst_window(10, skip));
         measures
     }
 
-    /// The least share of the worth earned over any window of so many whole seconds.
+    /// Lowest share of the value earned in any window of `length` whole seconds.
     pub fn worst_window(&self, length: usize, skip: usize) -> f64 {
-        let seconds = self.per_second.get(skip..).unwrap_or_default();
+        let per_second = self.per_second.get(skip..).unwrap_or_default();
         let earned_share = |window: &[OutcomeCounts]| {
-            let (earned, worth) =
+            let (earned_value, value) =
                 window.iter().fold((0.0, 0.0), |sum, s| (sum.0 + s.earned_value, sum.1 + s.value));
-            if worth > 0.0 { earned / worth } else { 1.0 }
+            if value > 0.0 { earned_value / value } else { 1.0 }
         };
-        if seconds.len() <= length {
-            earned_share(seconds)
+        if per_second.len() <= length {
+            earned_share(per_second)
         } else {
-            seconds.windows(length).map(earned_share).fold(1.0, f64::min)
+            per_second.windows(length).map(earned_share).fold(1.0, f64::min)
         }
     }
 }
--- a/model/src/timeline.rs
+++ b/model/src/timeline.rs
@@ -1,79 +1,79 @@
-//! What a world's troubles mean over time for everybody: which processes there will be, what the list will say and
-//! when, and what the links do. All of it is known before a run starts, so that every zone can look it up.
+//! Effects of the scheduled faults over time: server processes, changes of the discovery list, and link
+//! states. All of it is computed before a run starts, so that every zone can look it up.
 
 use brookfield::{BackendId, Member, Nanos, Stage, ZoneId, ZoneOverride};
 
 use crate::world::{FaultAction, LinkEnd, LinkFault, SECOND, ScheduledFault, World};
 
-/// A draining server goes this long after it began.
+/// Time from the start of a drain to the end of the process.
 const DRAIN_DURATION: Nanos = 2 * SECOND;
-/// The list tells of a new process this much later than of other changes.
+/// Minimum delay until discovery lists a newly started process.
 const MIN_START_NOTICE: Nanos = SECOND / 2;
 
-/// The list service as the end of a link: it is in no zone.
+/// The discovery service as the end of a link; it belongs to no zone.
 pub const DISCOVERY_END: (LinkEnd, u32) = (LinkEnd::Discovery, u32::MAX);
 
-/// A replica of the registry as the end of a link: it is in no zone either.
+/// A registry replica as the end of a link; it belongs to no zone.
 pub const fn replica_end(number: usize) -> (LinkEnd, u32) {
     (LinkEnd::Replica(number), u32::MAX)
 }
 
-/// An app server's process: its place, and the number under which the list has it.
+/// A process of an app server. Its index in [`Timeline::instances`] is its id on the discovery list.
 #[derive(Clone, Copy, Debug)]
 pub struct Instance {
-    /// Its place among the world's servers.
+    /// Index in [`World::servers`].
     pub server: usize,
-    /// Its zone.
+    /// Index of its zone.
     pub zone: u32,
-    /// When it first starts; 0 for one that is up and warm when the run begins.
+    /// When it starts; 0 if it is up and warm when the run begins.
     pub starts_at: Nanos,
     /// When it is replaced.
     pub ends_at: Option<Nanos>,
 }
 
 impl Instance {
-    /// Whether it is the process at a server's place at this time.
+    /// Whether this is the process of `server` at time `now`.
     pub fn occupies(&self, server: usize, now: Nanos) -> bool {
         self.server == server && self.starts_at <= now && self.ends_at.is_none_or(|end| now < end)
     }
 }
 
-/// A change of the list.
+/// A change of the discovery list.
 #[derive(Clone, Copy, Debug)]
 pub struct ListChange {
-    /// When the list service has it.
+    /// When the discovery service learns of it.
     pub at: Nanos,
-    /// The line.
+    /// The new entry.
     pub member: Member,
 }
 
-/// Everything that is known before a run starts.
+/// What is known before a run starts.
 #[derive(Clone, Debug)]
 pub struct Timeline {
-    /// When the load starts.
+    /// Start of the load.
     pub start: Nanos,
-    /// All processes of app servers, by their number.
+    /// All app server processes, by id.
     pub instances: Vec<Instance>,
-    /// The list when the run begins.
+    /// The discovery list when the run begins.
     pub initial_members: Vec<Member>,
-    /// What changes on it, in order.
+    /// Changes of the discovery list, by time.
     pub changes: Vec<ListChange>,
     /// Faults, with absolute times.
     pub faults: Vec<ScheduledFault>,
-    /// Whether any of them is on a link.
+    /// Whether any fault is on a link.
     pub has_link_faults: bool,
 }
 
 impl Timeline {
-    /// Looks ahead over a world whose load begins at `start`.
+    /// Computes the timeline of a world whose load starts at `start`.
     pub fn new(world: &World, start: Nanos) -> Self {
-        let steps: Vec<ScheduledFault> = world
+        let faults: Vec<ScheduledFault> = world
             .faults
             .iter()
-            .map(|step| ScheduledFault {
-                at: start + step.at,
-                until: step.until.map(|until| start + until),
-                action: step.action.clone(),
+            .map(|fault| ScheduledFault {
+                at: start + fault.at,
+                until: fault.until.map(|until| start + until),
+                action: fault.action.clone(),
             })
             .collect();
         let mut instances: Vec<Instance> = world
@@ -82,76 +82,77 @@
             .enumerate()
             .map(|(server, info)| Instance { server, zone: info.spec.zone, starts_at: 0, ends_at: None })
             .collect();
-        let member = |number: usize, instance: &Instance, stage: Stage, since: Option<Nanos>| {
+        let member = |index: usize, instance: &Instance, stage: Stage, online_since: Option<Nanos>| {
             let info = &world.servers[instance.server];
             Member {
-                backend: BackendId(number as u32),
+                backend: BackendId(index as u32),
                 zone: ZoneId(instance.zone),
                 kind: info.spec.kind,
                 cell: info.spec.cell,
                 stage,
                 weight: info.weight,
-                online_since: since,
+                online_since,
             }
         };
-        let first = instances.iter().enumerate().map(|(n, i)| member(n, i, Stage::InService, None)).collect();
+        let initial_members =
+            instances.iter().enumerate().map(|(n, i)| member(n, i, Stage::InService, None)).collect();
         let mut changes = Vec::new();
         let mut add_change = |at: Nanos, member: Member| changes.push(ListChange { at, member });
-        // The process that is at a place when a step begins.
+        // The process of a server when a fault begins.
         let current_instance = |instances: &[Instance], server: usize, at: Nanos| {
             instances.iter().position(|instance| instance.occupies(server, at))
         };
-        for step in &steps {
-            match step.action {
+        for fault in &faults {
+            match fault.action {
                 FaultAction::ReplaceServer(server) => {
-                    let Some(number) = current_instance(&instances, server, step.at) else { continue };
-                    let (zone, ends_at) = (instances[number].zone, step.at + DRAIN_DURATION);
-                    instances[number].ends_at = Some(ends_at);
+                    let Some(index) = current_instance(&instances, server, fault.at) else { continue };
+                    let (zone, ends_at) = (instances[index].zone, fault.at + DRAIN_DURATION);
+                    instances[index].ends_at = Some(ends_at);
                     add_change(
-                        step.at + world.propagation_delay,
-                        member(number, &instances[number], Stage::Draining, None),
+                        fault.at + world.propagation_delay,
+                        member(index, &instances[index], Stage::Draining, None),
                     );
                     add_change(
                         ends_at + world.propagation_delay,
-                        member(number, &instances[number], Stage::Gone, None),
+                        member(index, &instances[index], Stage::Gone, None),
                     );
                     let next = Instance { server, zone, starts_at: ends_at, ends_at: None };
                     instances.push(next);
-                    let number = instances.len() - 1;
-                    let since = Some(ends_at);
+                    let index = instances.len() - 1;
+                    let online_since = Some(ends_at);
                     let listed_at = ends_at + world.propagation_delay.max(MIN_START_NOTICE);
-                    add_change(listed_at, member(number, &next, Stage::InService, since));
+                    add_change(listed_at, member(index, &next, Stage::InService, online_since));
                 }
                 FaultAction::KillServer(server) => {
-                    let Some(number) = current_instance(&instances, server, step.at) else { continue };
-                    let instance = instances[number];
-                    let restarts_at = step.until.unwrap_or(Nanos::MAX);
-                    if step.at.saturating_add(world.propagation_delay) < restarts_at {
+                    let Some(index) = current_instance(&instances, server, fault.at) else { continue };
+                    let instance = instances[index];
+                    let restarts_at = fault.until.unwrap_or(Nanos::MAX);
+                    if fault.at.saturating_add(world.propagation_delay) < restarts_at {
                         add_change(
-                            step.at + world.propagation_delay,
-                            member(number, &instance, Stage::Gone, None),
+                            fault.at + world.propagation_delay,
+                            member(index, &instance, Stage::Gone, None),
                         );
                     }
                     if restarts_at != Nanos::MAX {
                         let listed_at = restarts_at + world.propagation_delay.max(MIN_START_NOTICE);
-                        add_change(listed_at, member(number, &instance, Stage::InService, Some(restarts_at)));
+                        add_change(listed_at, member(index, &instance, Stage::InService, Some(restarts_at)));
                     }
                 }
                 FaultAction::LoseZone(zone, cold) => {
-                    let restarts_at = step.until.unwrap_or(Nanos::MAX);
-                    for (number, &instance) in instances.iter().enumerate() {
-                        if instance.zone != zone || instance.ends_at.is_some_and(|end| end <= step.at) {
+                    let restarts_at = fault.until.unwrap_or(Nanos::MAX);
+                    for (index, &instance) in instances.iter().enumerate() {
+                        if instance.zone != zone || instance.ends_at.is_some_and(|end| end <= fault.at) {
                             continue;
                         }
-                        let detected_at = step.at.saturating_add(world.failure_detection_delay);
+                        let detected_at = fault.at.saturating_add(world.failure_detection_delay);
                         if detected_at < restarts_at {
-                            add_change(detected_at, member(number, &instance, Stage::Gone, None));
+                            add_change(detected_at, member(index, &instance, Stage::Gone, None));
                         }
                         if restarts_at != Nanos::MAX && (cold || detected_at < restarts_at) {
-                            let since = cold.then_some(restarts_at);
+                            let online_since = cold.then_some(restarts_at);
                             add_change(
                                 restarts_at + world.propagation_delay,
-                                member(number, &instance, Stage::InService, since),
+                                member(index, &instance, Stage::InService, online_since),
                             );
                         }
                     }
@@ -160,66 +161,66 @@
             }
         }
         changes.sort_by_key(|change| change.at);
-        let links = steps.iter().any(|step| matches!(step.action, FaultAction::Link(..)));
-        Self { start, instances, initial_members: first, changes, faults: steps, has_link_faults: links }
+        let has_link_faults = faults.iter().any(|fault| matches!(fault.action, FaultAction::Link(..)));
+        Self { start, instances, initial_members, changes, faults, has_link_faults }
     }
 
-    /// What the link from one party to another does now; none where it is as always. Of several troubles the cut
-    /// decides, and else the first.
+    /// The fault active on the link between two ends. If there are several, a cut takes precedence, then the
+    /// first.
     pub fn link_fault(&self, now: Nanos, from: (LinkEnd, u32), to: (LinkEnd, u32)) -> Option<LinkFault> {
         if !self.has_link_faults {
             return None;
         }
-        let matches = |end: LinkEnd, party: (LinkEnd, u32)| match end {
+        let matches = |end: LinkEnd, peer: (LinkEnd, u32)| match end {
             LinkEnd::All => true,
-            LinkEnd::Zone(zone) => party.1 == zone,
-            _ => end == party.0,
+            LinkEnd::Zone(zone) => peer.1 == zone,
+            _ => end == peer.0,
         };
         let mut found = None;
-        for step in self.faults.iter().filter(|step| step.is_active(now)) {
-            let FaultAction::Link(one, other, one_way, trouble) = step.action else { continue };
-            let forward = matches(one, from) && matches(other, to);
-            let backward = !one_way && matches(other, from) && matches(one, to);
-            // A zone's own parties still reach each other when it is cut off from all.
-            let within_zone = matches!(one, LinkEnd::Zone(_)) && from.1 == to.1 && other == LinkEnd::All;
+        for scheduled in self.faults.iter().filter(|scheduled| scheduled.is_active(now)) {
+            let FaultAction::Link(first, second, one_way, fault) = scheduled.action else { continue };
+            let forward = matches(first, from) && matches(second, to);
+            let backward = !one_way && matches(second, from) && matches(first, to);
+            // Traffic within a zone continues when the zone is cut off from everything else.
+            let within_zone = matches!(first, LinkEnd::Zone(_)) && from.1 == to.1 && second == LinkEnd::All;
             if (forward || backward) && !within_zone {
-                if trouble == LinkFault::Cut {
-                    return Some(trouble);
+                if fault == LinkFault::Cut {
+                    return Some(fault);
                 }
-                found = found.or(Some(trouble));
+                found = found.or(Some(fault));
             }
         }
         found
     }
 
-    /// What is ordered of each zone that any order names at all, now.
+    /// Traffic shares of all zones that any fault orders, at time `now`.
     pub fn zone_overrides(&self, now: Nanos) -> Vec<ZoneOverride> {
-        let mut orders: Vec<ZoneOverride> = Vec::new();
-        for step in &self.faults {
-            let FaultAction::OrderZone(zone, share) = step.action else { continue };
-            let share = if step.is_active(now) { share } else { 1.0 };
-            match orders.iter_mut().find(|order| order.zone == ZoneId(zone)) {
-                Some(order) => order.traffic_share = order.traffic_share.min(share),
-                None => orders.push(ZoneOverride { zone: ZoneId(zone), region: 0, traffic_share: share }),
+        let mut overrides: Vec<ZoneOverride> = Vec::new();
+        for fault in &self.faults {
+            let FaultAction::OrderZone(zone, share) = fault.action else { continue };
+            let share = if fault.is_active(now) { share } else { 1.0 };
+            match overrides.iter_mut().find(|zone_override| zone_override.zone == ZoneId(zone)) {
+                Some(zone_override) => zone_override.traffic_share = zone_override.traffic_share.min(share),
+                None => overrides.push(ZoneOverride { zone: ZoneId(zone), region: 0, traffic_share: share }),
             }
         }
-        orders
+        overrides
     }
 
-    /// The share of calls that the list service turns away now.
+    /// Share of calls that the discovery service rejects.
     pub fn discovery_error_share(&self, now: Nanos) -> f64 {
-        let share = |step: &ScheduledFault| match step.action {
-            FaultAction::BusyDiscovery(share) if step.is_active(now) => share,
+        let share = |fault: &ScheduledFault| match fault.action {
+            FaultAction::BusyDiscovery(share) if fault.is_active(now) => share,
             _ => 0.0,
         };
         self.faults.iter().map(share).fold(0.0, f64::max)
     }
 
-    /// Whether the list service is silent now, and how much later than usual it tells.
+    /// Whether the discovery service is silent, and its additional delay.
     pub fn discovery_state(&self, now: Nanos) -> (bool, Nanos) {
         let mut state = (false, 0);
-        for step in self.faults.iter().filter(|step| step.is_active(now)) {
-            match step.action {
+        for fault in self.faults.iter().filter(|fault| fault.is_active(now)) {
+            match fault.action {
                 FaultAction::SilentDiscovery | FaultAction::RubbishDiscovery => state.0 = true,
                 FaultAction::LateDiscovery(late) => state.1 = late.max(state.1),
                 _ => {}
--- a/model/src/world.rs
+++ b/model/src/world.rs
@@ -1,5 +1,5 @@
-//! A plan with every figure drawn: the nodes, the servers, the load and the troubles of one run. The same plan and
-//! seed give the same world, and each part draws from a stream of its own, so that a further fault moves no server.
+//! A scenario with all random values drawn. The same scenario and seed give the same world. Each part draws
+//! from a random stream of its own, so that adding a fault does not change the servers.
 
 use brookfield::Nanos;
 use rand::seq::SliceRandom;
@@ -10,22 +10,22 @@
 use crate::scenario::{Fault, FaultKind, Idempotency, LEADER, Range, RetryPolicy, Scenario, TargetKind};
 use crate::server::{CancelPolicy, Congestion, LoadReporting, ServerSpec};
 
-/// A second.
+/// One second in nanoseconds.
 pub const SECOND: Nanos = 1_000_000_000;
-/// A millisecond.
+/// One millisecond in nanoseconds.
 pub const MS: Nanos = 1_000_000;
 
-/// Seconds as nanoseconds; 0 for what is negative or no number.
+/// Converts seconds to nanoseconds; 0 for negative values and NaN.
 pub fn seconds(value: f64) -> Nanos {
     (value.max(0.0) * SECOND as f64) as Nanos
 }
 
-/// Milliseconds as nanoseconds; 0 for what is negative or no number.
+/// Converts milliseconds to nanoseconds; 0 for negative values and NaN.
 pub fn millis(value: f64) -> Nanos {
     seconds(value / 1000.0)
 }
 
-/// A stream of random numbers of a world's seed, apart from all its others.
+/// Independent random number stream `number` of a seed.
 pub fn rng_stream(seed: u64, number: u64) -> ChaCha12Rng {
     let mut rng = ChaCha12Rng::seed_from_u64(seed);
     rng.set_stream(number);
@@ -35,202 +35,203 @@
 /// A node.
 #[derive(Clone, Debug)]
 pub struct NodeInfo {
-    /// Its name, the same after a restart.
+    /// Name; kept across restarts.
     pub name: String,
-    /// Its zone.
+    /// Index of its zone.
     pub zone: u32,
 }
 
-/// An app server's place: its process may be replaced.
+/// An app server; its process may be replaced.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerInfo {
-    /// What it is.
+    /// Properties of the server.
     pub spec: ServerSpec,
-    /// Its size as the list tells it: cores times speed, about.
+    /// Nominal size on the discovery list: cores times the mean speed of the kind.
     pub weight: f64,
 }
 
-/// A class with its figures drawn.
+/// A request class.
 #[derive(Clone, Debug)]
 pub struct ClassInfo {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// Its part of the requests, all together 1.
+    /// Share of the requests; all classes add up to 1.
     pub share: f64,
-    /// Mean work on a standard core, in nanoseconds.
+    /// Mean CPU time on a standard core, in nanoseconds.
     pub work: f64,
-    /// Waits on others, in nanoseconds.
+    /// Time spent waiting on downstream calls, in nanoseconds.
     pub io_wait: Nanos,
-    /// Spread of the work.
+    /// Coefficient of variation of the CPU time.
     pub cv: f64,
-    /// Wanted time.
+    /// Latency target.
     pub latency_target: Nanos,
-    /// When a client gives up.
+    /// Deadline of the client.
     pub deadline: Nanos,
-    /// Worth of one.
+    /// Value of a request served in time.
     pub value: f64,
-    /// Share of it that is left after the aim.
+    /// Share of the value of a request served after its latency target.
     pub late_value_share: f64,
-    /// Whether it may be repeated.
+    /// Whether a request may run more than once.
     pub idempotency: Idempotency,
-    /// How long repeats of a keyed one are dropped.
+    /// How long repeats of a keyed request are deduplicated.
     pub dedup_window: Nanos,
 }
 
-/// A tenant with its figures drawn.
+/// A tenant.
 #[derive(Clone, Debug)]
 pub struct TenantInfo {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// Its part of the requests, all together 1.
+    /// Share of the requests; all tenants add up to 1.
     pub load_share: f64,
-    /// Requests a second over all nodes within its share.
+    /// Quota over all nodes, in requests per second.
     pub quota: f64,
 }
 
-/// The load with its figures drawn.
+/// The load.
 #[derive(Clone, Debug)]
 pub struct LoadInfo {
-    /// Requests a second, on the mean.
+    /// Mean rate, in requests per second.
     pub rps: f64,
-    /// How far it swings up and down, as a share.
+    /// Relative amplitude of the load's sine wave.
     pub wave_amplitude: f64,
-    /// From one crest to the next.
+    /// Period of the load's sine wave.
     pub wave_period: Nanos,
-    /// Part of the requests that come to each zone's nodes, all together 1.
+    /// Share of the requests sent to each zone's nodes; all zones add up to 1.
     pub zone_shares: Vec<f64>,
-    /// When a client comes again.
+    /// When clients retry.
     pub retry_policy: RetryPolicy,
-    /// How often at most.
+    /// Maximum number of retries.
     pub max_retries: u32,
-    /// First wait before it.
+    /// Initial backoff.
     pub backoff: Nanos,
-    /// Share of the clients that heed `Retry-After`.
+    /// Share of clients that honor `Retry-After`.
     pub retry_after_share: f64,
-    /// A try is given up after this share of the deadline.
+    /// Timeout of one try, as a share of the deadline.
     pub try_timeout_share: f64,
 }
 
 /// One end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkEnd {
-    /// Everybody.
+    /// Any end.
     All,
-    /// The list service.
+    /// The discovery service.
     Discovery,
     /// A node.
     Node(usize),
     /// An app server.
     Server(usize),
-    /// A replica of the registry.
+    /// A registry replica.
     Replica(usize),
     /// All nodes and servers of a zone.
     Zone(u32),
 }
 
-/// What a fault does to whom.
+/// A fault with its targets resolved.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultAction {
-    /// See [`Trouble::KillNode`].
+    /// See [`FaultKind::KillNode`].
     KillNode(usize),
-    /// See [`Trouble::PauseNode`].
+    /// See [`FaultKind::PauseNode`].
     PauseNode(usize),
-    /// See [`Trouble::RestartNode`].
+    /// See [`FaultKind::RestartNode`].
     RestartNode(usize),
-    /// See [`Trouble::LateNode`].
+    /// See [`FaultKind::LateNode`].
     LateNode(usize),
-    /// See [`Trouble::KillServer`].
+    /// See [`FaultKind::KillServer`].
     KillServer(usize),
-    /// See [`Trouble::SlowServer`]; times slower.
+    /// See [`FaultKind::SlowServer`]; the slowdown factor.
     SlowServer(usize, f64),
-    /// See [`Trouble::HangServer`].
+    /// See [`FaultKind::HangServer`].
     HangServer(usize),
-    /// See [`Trouble::FailServer`]; the share that fails.
+    /// See [`FaultKind::FailServer`]; the share that fails.
     FailServer(usize, f64),
-    /// See [`Trouble::BusyServer`]; the share taken.
+    /// See [`FaultKind::BusyServer`]; the share of the CPU taken.
     BusyServer(usize, f64),
-    /// See [`Trouble::ReplaceServer`].
+    /// See [`FaultKind::ReplaceServer`].
     ReplaceServer(usize),
-    /// See [`Trouble::LoseZone`]; whether it comes back cold.
+    /// See [`FaultKind::LoseZone`]; whether the servers restart cold.
     LoseZone(u32, bool),
-    /// What a link does, from, to, and whether only that way.
+    /// A fault on the link between two ends; the flag restricts it to that direction.
     Link(LinkEnd, LinkEnd, bool, LinkFault),
-    /// See [`Trouble::LateDiscovery`].
+    /// See [`FaultKind::LateDiscovery`].
     LateDiscovery(Nanos),
-    /// See [`Trouble::SilentDiscovery`].
+    /// See [`FaultKind::SilentDiscovery`].
     SilentDiscovery,
-    /// See [`Trouble::BusyDiscovery`]; the share turned away.
+    /// See [`FaultKind::BusyDiscovery`]; the share of calls rejected.
     BusyDiscovery(f64),
-    /// See [`Trouble::RubbishDiscovery`].
+    /// See [`FaultKind::RubbishDiscovery`].
     RubbishDiscovery,
-    /// See [`Trouble::MoveDiscovery`].
+    /// See [`FaultKind::MoveDiscovery`].
     MoveDiscovery,
-    /// See [`Trouble::KillReplica`]; none for whichever leads.
+    /// See [`FaultKind::KillReplica`]; `None` for the current leader.
     KillReplica(Option<usize>),
-    /// See [`Trouble::PauseReplica`].
+    /// See [`FaultKind::PauseReplica`].
     PauseReplica(Option<usize>),
-    /// See [`Trouble::LoseReplica`].
+    /// See [`FaultKind::LoseReplica`].
     LoseReplica(Option<usize>),
-    /// See [`Trouble::OrderZone`]; the zone and its share.
+    /// See [`FaultKind::OrderZone`]; the zone and its share of traffic.
     OrderZone(u32, f64),
-    /// See [`Trouble::Burst`].
+    /// See [`FaultKind::Burst`].
     Burst(f64),
-    /// See [`Trouble::FloodTenant`].
+    /// See [`FaultKind::FloodTenant`].
     FloodTenant(usize, f64),
-    /// See [`Trouble::RudeClients`]; connections a second.
+    /// See [`FaultKind::RudeClients`]; connections per second.
     RudeClients(f64),
 }
 
-/// What a link does.
+/// A fault of a link.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LinkFault {
     /// Nothing passes.
     Cut,
-    /// It takes longer.
+    /// Additional delay.
     Delay(Nanos),
-    /// Bytes a second.
+    /// Bandwidth limit in bytes per second.
     Throttle(f64),
-    /// The chance of a reset in a second.
+    /// Probability of a reset per second.
     Reset(f64),
 }
 
-/// A fault, and when.
+/// A fault and its times.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScheduledFault {
-    /// From the start of the load.
+    /// Start, relative to the start of the load.
     pub at: Nanos,
-    /// Its end; none if it lasts.
+    /// End; `None` if it lasts until the end of the run.
     pub until: Option<Nanos>,
-    /// What happens.
+    /// The fault.
     pub action: FaultAction,
 }
 
 impl ScheduledFault {
-    /// Whether it lasts at this time, on the clock of its own times.
+    /// Whether the fault is active at `now`, on the same clock as its times.
     pub fn is_active(&self, now: Nanos) -> bool {
         self.at <= now && self.until.is_none_or(|until| now < until)
     }
 }
 
-/// The figures of the rules.
+/// Limits that the fleet is checked against.
 #[derive(Clone, Copy, Debug)]
 pub struct RuleInfo {
-    /// Nothing new goes to a server so long after the node was told that it drains.
+    /// How long after being notified of a drain a node may still send to the server.
     pub drain_grace: Nanos,
-    /// The longest pause that a refusal may advise.
+    /// Maximum `Retry-After` of a rejection.
     pub max_retry_after: Nanos,
-    /// Attempts for one request at most.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// A cold server sent more than this multiple of its capacity falls over ...
+    /// A cold server crashes if the work it receives within the overload window exceeds this multiple of its
+    /// current capacity.
     pub overload_factor: f64,
-    /// ... counted over any span of this length.
+    /// Length of the overload window.
     pub overload_window: Nanos,
 }
 
-/// A plan with every figure drawn.
+/// A scenario with all random values drawn.
 #[derive(Clone, Debug)]
 pub struct World {
-    /// What everything was drawn from.
+    /// Seed that the values were drawn from.
     pub seed: u64,
     /// Names of the zones.
     pub zones: Vec<String>,
@@ -240,31 +241,31 @@
     pub nodes: Vec<NodeInfo>,
     /// The app servers.
     pub servers: Vec<ServerInfo>,
-    /// Replicas of the fleet's own registry.
+    /// Number of registry replicas.
     pub replicas: usize,
-    /// The classes.
+    /// The request classes.
     pub classes: Vec<ClassInfo>,
     /// The tenants.
     pub tenants: Vec<TenantInfo>,
     /// The load.
     pub load: LoadInfo,
-    /// One way within a zone.
+    /// One-way delay within a zone.
     pub intra_zone_delay: Nanos,
-    /// One way between zones.
+    /// One-way delay between zones.
     pub cross_zone_delay: Nanos,
-    /// Relative spread of each delay.
+    /// Relative jitter of each delay.
     pub jitter: f64,
-    /// A change reaches the nodes so much later.
+    /// Time until nodes learn of a change.
     pub propagation_delay: Nanos,
-    /// A server that has fallen silent is missed so much later.
+    /// Time until a silent server is removed from the list.
     pub failure_detection_delay: Nanos,
-    /// The figures of the rules.
+    /// Limits that the fleet is checked against.
     pub rules: RuleInfo,
-    /// What goes wrong, in the order of its beginning.
+    /// Faults, ordered by start.
     pub faults: Vec<ScheduledFault>,
-    /// Share of its capacity that any server starts with at least.
+    /// Minimum share of its capacity that any server starts with.
     pub initial_capacity: f64,
-    /// The time by which any server is warm.
+    /// Maximum warm-up time of any server.
     pub slow_start_window: Nanos,
 }
 
@@ -272,7 +273,7 @@
     range.interpolate(rng.random::<f64>())
 }
 
-/// Deals whole numbers out by shares, so that they add up.
+/// Splits `total` into integers in proportion to `shares`; they add up to `total`.
 fn apportion(total: usize, shares: &[f64]) -> Vec<usize> {
     let sum: f64 = shares.iter().sum();
     let (mut assigned, mut due) = (0, 0.0);
@@ -288,101 +289,101 @@
 }
 
 impl World {
-    /// Draws a checked plan's figures.
-    pub fn sample(plan: &Scenario, seed: u64) -> Self {
-        let plan = &plan.clone().with_defaults();
+    /// Draws all random values of a validated scenario.
+    pub fn sample(scenario: &Scenario, seed: u64) -> Self {
+        let scenario = &scenario.clone().with_defaults();
         let rules = RuleInfo {
-            drain_grace: millis(plan.rules.drain_grace_ms),
-            max_retry_after: millis(plan.rules.max_retry_after_ms),
-            max_attempts: plan.rules.max_attempts,
-            overload_factor: plan.rules.overload_factor,
-            overload_window: millis(plan.rules.overload_window_ms),
+            drain_grace: millis(scenario.rules.drain_grace_ms),
+            max_retry_after: millis(scenario.rules.max_retry_after_ms),
+            max_attempts: scenario.rules.max_attempts,
+            overload_factor: scenario.rules.overload_factor,
+            overload_window: millis(scenario.rules.overload_window_ms),
         };
-        let zones = plan.fleet.zones.len();
-        let nodes: Vec<NodeInfo> = (0..plan.fleet.nodes)
+        let zones = scenario.fleet.zones.len();
+        let nodes: Vec<NodeInfo> = (0..scenario.fleet.nodes)
             .map(|n| NodeInfo { name: format!("n{n}"), zone: n % zones as u32 })
             .collect();
-        let classes = sample_classes(plan, &mut rng_stream(seed, 2));
+        let classes = sample_classes(scenario, &mut rng_stream(seed, 2));
         let work: f64 = classes.iter().map(|class| class.share * class.work).sum();
-        let servers = sample_servers(plan, &rules, work, &mut rng_stream(seed, 1));
+        let servers = sample_servers(scenario, &rules, work, &mut rng_stream(seed, 1));
         let capacity: f64 = servers.iter().map(|s| s.spec.cores * s.spec.speed).sum();
-        // Requests a second that the servers can do, if none of them is ever idle.
+        // Capacity of all servers, in requests per second.
         let capacity_rps = capacity * SECOND as f64 / work.max(1.0);
         let rng = &mut rng_stream(seed, 3);
-        let skew = sample_range(rng, plan.load.zone_skew);
+        let zone_skew = sample_range(rng, scenario.load.zone_skew);
         let mut zone_weights: Vec<f64> =
-            (0..zones).map(|zone| if zone == 0 { 1.0 + skew } else { 1.0 }).collect();
-        // Requests come to nodes: a zone without one gets none.
-        for (zone, part) in zone_weights.iter_mut().enumerate() {
+            (0..zones).map(|zone| if zone == 0 { 1.0 + zone_skew } else { 1.0 }).collect();
+        // A zone without nodes receives no requests.
+        for (zone, weight) in zone_weights.iter_mut().enumerate() {
             if !nodes.iter().any(|node| node.zone as usize == zone) {
-                *part = 0.0;
+                *weight = 0.0;
             }
         }
         let sum: f64 = zone_weights.iter().sum();
         let load = LoadInfo {
-            rps: plan.load.rps.unwrap_or(capacity_rps * plan.load.utilisation),
-            wave_amplitude: sample_range(rng, plan.load.wave_amplitude),
-            wave_period: seconds(sample_range(rng, plan.load.wave_period_s)),
-            zone_shares: zone_weights.iter().map(|part| part / sum).collect(),
-            retry_policy: plan.load.retry_policy,
-            max_retries: plan.load.max_retries,
-            backoff: millis(sample_range(rng, plan.load.backoff_ms)),
-            retry_after_share: sample_range(rng, plan.load.retry_after_share),
-            try_timeout_share: sample_range(rng, plan.load.try_timeout_share),
+            rps: scenario.load.rps.unwrap_or(capacity_rps * scenario.load.utilisation),
+            wave_amplitude: sample_range(rng, scenario.load.wave_amplitude),
+            wave_period: seconds(sample_range(rng, scenario.load.wave_period_s)),
+            zone_shares: zone_weights.iter().map(|weight| weight / sum).collect(),
+            retry_policy: scenario.load.retry_policy,
+            max_retries: scenario.load.max_retries,
+            backoff: millis(sample_range(rng, scenario.load.backoff_ms)),
+            retry_after_share: sample_range(rng, scenario.load.retry_after_share),
+            try_timeout_share: sample_range(rng, scenario.load.try_timeout_share),
         };
         let tenant_load: Vec<f64> =
-            plan.tenants.iter().map(|t| t.share * sample_range(rng, t.usage)).collect();
+            scenario.tenants.iter().map(|t| t.share * sample_range(rng, t.usage)).collect();
         let total_load = tenant_load.iter().sum::<f64>().max(1e-9);
-        let tenants = plan.tenants.iter().zip(&tenant_load).map(|(tenant, tenant_load)| TenantInfo {
+        let tenants = scenario.tenants.iter().zip(&tenant_load).map(|(tenant, tenant_load)| TenantInfo {
             name: tenant.name.clone(),
             load_share: tenant_load / total_load,
             quota: tenant.share * capacity_rps,
         });
         let rng = &mut rng_stream(seed, 4);
-        let max_slow_start = plan
+        let max_slow_start = scenario
             .kinds
             .iter()
             .map(|kind| kind.slow_start_s.from.max(kind.slow_start_s.to))
             .fold(0.0, f64::max);
-        let min_initial_capacity = plan
+        let min_initial_capacity = scenario
             .kinds
             .iter()
             .map(|kind| kind.initial_capacity.from.min(kind.initial_capacity.to))
             .fold(1.0, f64::min);
         let mut world = Self {
             seed,
-            zones: plan.fleet.zones.clone(),
-            kinds: plan.kinds.iter().map(|kind| kind.name.clone()).collect(),
+            zones: scenario.fleet.zones.clone(),
+            kinds: scenario.kinds.iter().map(|kind| kind.name.clone()).collect(),
             nodes,
             servers,
             classes,
             tenants: tenants.collect(),
             load,
-            intra_zone_delay: millis(sample_range(rng, plan.network.intra_zone_ms)),
-            cross_zone_delay: millis(sample_range(rng, plan.network.cross_zone_ms)),
-            jitter: sample_range(rng, plan.network.jitter),
-            propagation_delay: seconds(sample_range(rng, plan.discovery.propagation_s)),
-            failure_detection_delay: seconds(sample_range(rng, plan.discovery.failure_detection_s)),
+            intra_zone_delay: millis(sample_range(rng, scenario.network.intra_zone_ms)),
+            cross_zone_delay: millis(sample_range(rng, scenario.network.cross_zone_ms)),
+            jitter: sample_range(rng, scenario.network.jitter),
+            propagation_delay: seconds(sample_range(rng, scenario.discovery.propagation_s)),
+            failure_detection_delay: seconds(sample_range(rng, scenario.discovery.failure_detection_s)),
             rules,
             faults: Vec::new(),
-            replicas: plan.registry.replicas as usize,
+            replicas: scenario.registry.replicas as usize,
             initial_capacity: min_initial_capacity,
             slow_start_window: seconds(max_slow_start),
         };
-        for (n, fault) in (0..).zip(&plan.faults) {
-            let steps = world.schedule_fault(fault, &mut rng_stream(seed, 100 + n));
-            world.faults.extend(steps);
+        for (n, fault) in (0..).zip(&scenario.faults) {
+            let faults = world.schedule_fault(fault, &mut rng_stream(seed, 100 + n));
+            world.faults.extend(faults);
         }
-        world.faults.sort_by_key(|step| step.at);
+        world.faults.sort_by_key(|fault| fault.at);
         world
     }
 
-    /// One way between two zones, before jitter.
+    /// One-way delay between two zones, without jitter.
     pub fn one_way_delay(&self, from: u32, to: u32) -> Nanos {
         if from == to { self.intra_zone_delay } else { self.cross_zone_delay }
     }
 
-    /// A party by the name that a plan gives it.
+    /// Resolves the name of a link end.
     pub fn link_end(&self, name: &str) -> Option<LinkEnd> {
         let number = |prefix: &str| name.strip_prefix(prefix).and_then(|number| number.parse::<usize>().ok());
         match name {
@@ -402,7 +403,7 @@
         number("s").filter(|server| *server < self.servers.len()).map(LinkEnd::Server)
     }
 
-    /// The settings object of a node in this zone, in the operators' words and units.
+    /// The settings object of a node in this zone.
     pub fn settings(&self, zone: u32) -> Value {
         let classes: Vec<Value> = self
             .classes
@@ -449,7 +450,7 @@
         let interval = fault.interval_s.map_or(0.0, |interval| sample_range(rng, interval));
         let share = fault.share.map(|share| sample_range(rng, share));
         let zone = fault.zone.as_ref().and_then(|name| self.zones.iter().position(|zone| zone == name));
-        let pick = |rng: &mut _, prefix: &str, zones: Vec<u32>| -> Vec<usize> {
+        let select_targets = |rng: &mut _, prefix: &str, zones: Vec<u32>| -> Vec<usize> {
             if let Some(who) = &fault.target {
                 let number = who.strip_prefix(prefix).and_then(|number| number.parse().ok());
                 return number.filter(|number| *number < zones.len()).into_iter().collect();
@@ -464,101 +465,114 @@
             all.truncate(count);
             all
         };
-        let each = |targets: Vec<usize>, act: &dyn Fn(usize) -> FaultAction| -> Vec<ScheduledFault> {
-            let begin = |n: usize| seconds(at + interval * n as f64);
-            let made = |(n, target): (usize, usize)| ScheduledFault {
-                at: begin(n),
-                until: duration.map(|duration| begin(n) + seconds(duration)),
-                action: act(target),
+        let for_each_target =
+            |targets: Vec<usize>, act: &dyn Fn(usize) -> FaultAction| -> Vec<ScheduledFault> {
+                let start = |n: usize| seconds(at + interval * n as f64);
+                let scheduled = |(n, target): (usize, usize)| ScheduledFault {
+                    at: start(n),
+                    until: duration.map(|duration| start(n) + seconds(duration)),
+                    action: act(target),
+                };
+                targets.into_iter().enumerate().map(scheduled).collect()
             };
-            targets.into_iter().enumerate().map(made).collect()
-        };
-        let one = |act: FaultAction| {
+        let single_fault = |action: FaultAction| {
             vec![ScheduledFault {
                 at: seconds(at),
                 until: duration.map(|duration| seconds(at + duration)),
-                action: act,
+                action,
             }]
         };
-        let link = |trouble: LinkFault| {
+        let link_fault_between = |link_fault: LinkFault| {
             let end = |name: &Option<String>| name.as_deref().and_then(|name| self.link_end(name));
             match (end(&fault.from), end(&fault.to)) {
-                (Some(from), Some(to)) => one(FaultAction::Link(from, to, fault.one_way, trouble)),
+                (Some(from), Some(to)) => {
+                    single_fault(FaultAction::Link(from, to, fault.one_way, link_fault))
+                }
                 _ => Vec::new(),
             }
         };
         let targets = match fault.kind.target_kind() {
-            TargetKind::Nodes => pick(rng, "n", self.nodes.iter().map(|node| node.zone).collect()),
+            TargetKind::Nodes => select_targets(rng, "n", self.nodes.iter().map(|node| node.zone).collect()),
             TargetKind::Servers => {
-                pick(rng, "s", self.servers.iter().map(|server| server.spec.zone).collect())
+                select_targets(rng, "s", self.servers.iter().map(|server| server.spec.zone).collect())
             }
-            TargetKind::Replicas => pick(rng, "r", vec![u32::MAX; self.replicas]),
+            TargetKind::Replicas => select_targets(rng, "r", vec![u32::MAX; self.replicas]),
             _ => Vec::new(),
         };
-        let replicas = |targets: Vec<usize>, act: &dyn Fn(Option<usize>) -> FaultAction| {
+        let for_replicas = |targets: Vec<usize>, act: &dyn Fn(Option<usize>) -> FaultAction| {
             if fault.target.as_deref() == Some(LEADER) {
-                one(act(None))
+                single_fault(act(None))
             } else {
-                each(targets, &|at| act(Some(at)))
+                for_each_target(targets, &|at| act(Some(at)))
             }
         };
-        let named = |names: &[&String]| names.iter().position(|name| Some(*name) == fault.target.as_ref());
+        let index_of_target =
+            |names: &[&String]| names.iter().position(|name| Some(*name) == fault.target.as_ref());
         match fault.kind {
-            FaultKind::KillNode => each(targets, &FaultAction::KillNode),
-            FaultKind::PauseNode => each(targets, &FaultAction::PauseNode),
-            FaultKind::RestartNode => each(targets, &FaultAction::RestartNode),
-            FaultKind::LateNode => each(targets, &FaultAction::LateNode),
-            FaultKind::KillServer => each(targets, &FaultAction::KillServer),
-            FaultKind::SlowServer => each(targets, &|s| FaultAction::SlowServer(s, factor)),
-            FaultKind::HangServer => each(targets, &FaultAction::HangServer),
-            FaultKind::FailServer => each(targets, &|s| FaultAction::FailServer(s, factor)),
-            FaultKind::BusyServer => each(targets, &|s| FaultAction::BusyServer(s, factor)),
-            FaultKind::ReplaceServer => each(targets, &FaultAction::ReplaceServer),
+            FaultKind::KillNode => for_each_target(targets, &FaultAction::KillNode),
+            FaultKind::PauseNode => for_each_target(targets, &FaultAction::PauseNode),
+            FaultKind::RestartNode => for_each_target(targets, &FaultAction::RestartNode),
+            FaultKind::LateNode => for_each_target(targets, &FaultAction::LateNode),
+            FaultKind::KillServer => for_each_target(targets, &FaultAction::KillServer),
+            FaultKind::SlowServer => for_each_target(targets, &|s| FaultAction::SlowServer(s, factor)),
+            FaultKind::HangServer => for_each_target(targets, &FaultAction::HangServer),
+            FaultKind::FailServer => for_each_target(targets, &|s| FaultAction::FailServer(s, factor)),
+            FaultKind::BusyServer => for_each_target(targets, &|s| FaultAction::BusyServer(s, factor)),
+            FaultKind::ReplaceServer => for_each_target(targets, &FaultAction::ReplaceServer),
             FaultKind::LoseZone => {
-                let zone = named(&self.zones.iter().collect::<Vec<_>>());
-                zone.map_or(Vec::new(), |zone| one(FaultAction::LoseZone(zone as u32, fault.cold)))
+                let zone = index_of_target(&self.zones.iter().collect::<Vec<_>>());
+                zone.map_or(Vec::new(), |zone| single_fault(FaultAction::LoseZone(zone as u32, fault.cold)))
             }
-            FaultKind::CutLink => link(LinkFault::Cut),
-            FaultKind::DelayLink => link(LinkFault::Delay(millis(factor))),
-            FaultKind::ThrottleLink => link(LinkFault::Throttle(factor * 1000.0)),
-            FaultKind::ResetLink => link(LinkFault::Reset(factor)),
-            FaultKind::LateDiscovery => one(FaultAction::LateDiscovery(seconds(factor))),
-            FaultKind::SilentDiscovery => one(FaultAction::SilentDiscovery),
-            FaultKind::BusyDiscovery => one(FaultAction::BusyDiscovery(factor)),
-            FaultKind::RubbishDiscovery => one(FaultAction::RubbishDiscovery),
-            FaultKind::MoveDiscovery => one(FaultAction::MoveDiscovery),
-            FaultKind::KillReplica => replicas(targets, &FaultAction::KillReplica),
-            FaultKind::PauseReplica => replicas(targets, &FaultAction::PauseReplica),
-            FaultKind::LoseReplica => replicas(targets, &FaultAction::LoseReplica),
+            FaultKind::CutLink => link_fault_between(LinkFault::Cut),
+            FaultKind::DelayLink => link_fault_between(LinkFault::Delay(millis(factor))),
+            FaultKind::ThrottleLink => link_fault_between(LinkFault::Throttle(factor * 1000.0)),
+            FaultKind::ResetLink => link_fault_between(LinkFault::Reset(factor)),
+            FaultKind::LateDiscovery => single_fault(FaultAction::LateDiscovery(seconds(factor))),
+            FaultKind::SilentDiscovery => single_fault(FaultAction::SilentDiscovery),
+            FaultKind::BusyDiscovery => single_fault(FaultAction::BusyDiscovery(factor)),
+            FaultKind::RubbishDiscovery => single_fault(FaultAction::RubbishDiscovery),
+            FaultKind::MoveDiscovery => single_fault(FaultAction::MoveDiscovery),
+            FaultKind::KillReplica => for_replicas(targets, &FaultAction::KillReplica),
+            FaultKind::PauseReplica => for_replicas(targets, &FaultAction::PauseReplica),
+            FaultKind::LoseReplica => for_replicas(targets, &FaultAction::LoseReplica),
             FaultKind::OrderZone => {
-                let zone = named(&self.zones.iter().collect::<Vec<_>>());
-                zone.map_or(Vec::new(), |zone| one(FaultAction::OrderZone(zone as u32, factor)))
+                let zone = index_of_target(&self.zones.iter().collect::<Vec<_>>());
+                zone.map_or(Vec::new(), |zone| single_fault(FaultAction::OrderZone(zone as u32, factor)))
             }
-            FaultKind::Burst => one(FaultAction::Burst(factor)),
+            FaultKind::Burst => single_fault(FaultAction::Burst(factor)),
             FaultKind::FloodTenant => {
-                let tenant = named(&self.tenants.iter().map(|tenant| &tenant.name).collect::<Vec<_>>());
-                tenant.map_or(Vec::new(), |tenant| one(FaultAction::FloodTenant(tenant, factor)))
+                let tenant =
+                    index_of_target(&self.tenants.iter().map(|tenant| &tenant.name).collect::<Vec<_>>());
+                tenant.map_or(Vec::new(), |tenant| single_fault(FaultAction::FloodTenant(tenant, factor)))
             }
-            FaultKind::RudeClients => one(FaultAction::RudeClients(factor)),
+            FaultKind::RudeClients => single_fault(FaultAction::RudeClients(factor)),
         }
     }
 }
 
-fn sample_servers(plan: &Scenario, rules: &RuleInfo, mean_work: f64, rng: &mut impl Rng) -> Vec<ServerInfo> {
-    let zones = plan.fleet.zones.len();
-    let sizes =
-        if plan.fleet.zone_weights.is_empty() { vec![1.0; zones] } else { plan.fleet.zone_weights.clone() };
-    // One for each zone, whatever its size, and the rest by size.
-    let mut counts = apportion(plan.fleet.servers as usize - zones, &sizes);
+fn sample_servers(
+    scenario: &Scenario,
+    rules: &RuleInfo,
+    mean_work: f64,
+    rng: &mut impl Rng,
+) -> Vec<ServerInfo> {
+    let zones = scenario.fleet.zones.len();
+    let sizes = if scenario.fleet.zone_weights.is_empty() {
+        vec![1.0; zones]
+    } else {
+        scenario.fleet.zone_weights.clone()
+    };
+    // Each zone has at least one server; the rest is distributed by weight.
+    let mut counts = apportion(scenario.fleet.servers as usize - zones, &sizes);
     counts.iter_mut().for_each(|count| *count += 1);
     let mut kinds: Vec<usize> = Vec::new();
-    let shares: Vec<f64> = plan.kinds.iter().map(|kind| kind.share).collect();
-    for (kind, count) in apportion(plan.fleet.servers as usize, &shares).into_iter().enumerate() {
+    let shares: Vec<f64> = scenario.kinds.iter().map(|kind| kind.share).collect();
+    for (kind, count) in apportion(scenario.fleet.servers as usize, &shares).into_iter().enumerate() {
         kinds.extend(std::iter::repeat_n(kind, count));
     }
     kinds.shuffle(rng);
-    let group = sample_range(rng, plan.fleet.group_size).round().max(1.0) as usize;
-    let choke = plan.fleet.congestion.then(|| Congestion {
+    let group_size = sample_range(rng, scenario.fleet.group_size).round().max(1.0) as usize;
+    let congestion = scenario.fleet.congestion.then(|| Congestion {
         queued_per_core: Range::new(7.0, 4.0).interpolate(rng.random()),
         onset: seconds(Range::new(2.5, 1.5).interpolate(rng.random())),
         slowdown: Range::new(2.0, 3.5).interpolate(rng.random()),
@@ -566,32 +580,32 @@
         recovery_time: seconds(Range::new(2.1, 4.7).interpolate(rng.random())),
         max_duration: seconds(Range::new(16.0, 31.0).interpolate(rng.random())),
     });
-    let reporting = plan.fleet.load_reports.then(|| LoadReporting {
+    let reporting = scenario.fleet.load_reports.then(|| LoadReporting {
         period: millis(Range::new(8.0, 91.0).interpolate(rng.random())),
         delay: millis(Range::new(1.6, 28.0).interpolate(rng.random())),
         noise: Range::new(0.03, 0.2).interpolate(rng.random()),
     });
-    let cancel = if rng.random::<bool>() { CancelPolicy::DropQueued } else { CancelPolicy::Ignore };
+    let cancel_policy = if rng.random::<bool>() { CancelPolicy::DropQueued } else { CancelPolicy::Ignore };
     let drops_expired = rng.random::<bool>();
-    let handshake = Range::new(730_000.0, 2_300_000.0).interpolate(rng.random());
-    let full_tax = Range::new(0.03, 0.15).interpolate(rng.random());
-    // Servers of all zones take turns, so that a server's number tells nothing of its zone.
+    let handshake_work = Range::new(730_000.0, 2_300_000.0).interpolate(rng.random());
+    let connection_overhead = Range::new(0.03, 0.15).interpolate(rng.random());
+    // Zones are shuffled, so that a server's index does not tell its zone.
     let mut zone_order: Vec<u32> = Vec::new();
     for (zone, count) in counts.into_iter().enumerate() {
         zone_order.extend(std::iter::repeat_n(zone as u32, count));
     }
     zone_order.shuffle(rng);
     let mut zone_sizes = vec![0usize; zones];
-    let servers = zone_order.into_iter().zip(kinds).map(|(zone, kind_at)| {
-        let kind = &plan.kinds[kind_at];
+    let servers = zone_order.into_iter().zip(kinds).map(|(zone, kind_index)| {
+        let kind = &scenario.kinds[kind_index];
         let cores = f64::from(kind.cores);
         let speed = sample_range(rng, kind.speed);
-        let cell = (zone_sizes[zone as usize] / group) as u64 * zones as u64 + u64::from(zone);
+        let cell = (zone_sizes[zone as usize] / group_size) as u64 * zones as u64 + u64::from(zone);
         zone_sizes[zone as usize] += 1;
         let spec = ServerSpec {
             zone,
             cell,
-            kind: kind_at as u32,
+            kind: kind_index as u32,
             cores,
             speed,
             concurrency: (sample_range(rng, kind.concurrency) * cores).round().max(1.0) as usize,
@@ -601,12 +615,12 @@
             initial_capacity: sample_range(rng, kind.initial_capacity),
             slow_start_window: seconds(sample_range(rng, kind.slow_start_s)),
             error_rate: kind.error_rate,
-            cancel_policy: cancel,
+            cancel_policy,
             drops_expired,
             max_connections: (Range::new(600.0, 900.0).interpolate(rng.random()) * cores) as usize,
-            handshake_work: handshake,
-            connection_overhead: full_tax,
-            congestion: choke,
+            handshake_work,
+            connection_overhead,
+            congestion,
             overload_factor: rules.overload_factor,
             overload_window: rules.overload_window,
             mean_work,
@@ -617,9 +631,9 @@
     servers.collect()
 }
 
-fn sample_classes(plan: &Scenario, rng: &mut impl Rng) -> Vec<ClassInfo> {
-    let total_share: f64 = plan.classes.iter().map(|class| class.share).sum();
-    let classes = plan.classes.iter().map(|class| ClassInfo {
+fn sample_classes(scenario: &Scenario, rng: &mut impl Rng) -> Vec<ClassInfo> {
+    let total_share: f64 = scenario.classes.iter().map(|class| class.share).sum();
+    let classes = scenario.classes.iter().map(|class| ClassInfo {
         name: class.name.clone(),
         share: class.share / total_share,
         work: millis(sample_range(rng, class.work_ms)) as f64,
