--- a/model/src/balancers.rs
+++ b/model/src/balancers.rs
@@ -27,8 +27,8 @@
 
 impl BalancerSet for LocalBalancers {
     fn open(&mut self, node: usize, settings: &Value, seed: u64, now: Nanos) -> Result<(), String> {
-        let site = brookfield_settings::parse(settings)?;
-        let balancer = Balancer::new(site.settings, seed, now).map_err(|error| error.to_string())?;
+        let parsed = brookfield_settings::parse(settings)?;
+        let balancer = Balancer::new(parsed.settings, seed, now).map_err(|error| error.to_string())?;
         if self.nodes.len() <= node {
             self.nodes.resize_with(node + 1, || None);
         }
--- a/model/src/clients.rs
+++ b/model/src/clients.rs
@@ -62,10 +62,10 @@
 
 fn pick_weighted(shares: &[f64], draw: f64) -> usize {
     let mut remaining = draw * shares.iter().sum::<f64>();
-    for (at, share) in shares.iter().enumerate() {
+    for (index, share) in shares.iter().enumerate() {
         remaining -= share;
         if remaining < 0.0 {
-            return at;
+            return index;
         }
     }
     shares.len().saturating_sub(1)
@@ -114,9 +114,9 @@
     /// Arrival rate at time `at`, in requests per second.
     pub fn rate(&self, world: &World, at: Nanos) -> f64 {
         let phase = at as f64 / world.load.wave_period.max(1) as f64 * WAVE_RADIANS;
-        let tenants: f64 =
+        let tenant_sum: f64 =
             self.tenant_shares.iter().zip(&self.tenant_factors).map(|(share, factor)| share * factor).sum();
-        let tenant_factor = if self.tenant_shares.is_empty() { 1.0 } else { tenants };
+        let tenant_factor = if self.tenant_shares.is_empty() { 1.0 } else { tenant_sum };
         let zone_share = self.zone.map_or(1.0, |zone| world.load.zone_shares[zone as usize]);
         zone_share
             * world.load.rps
@@ -140,7 +140,7 @@
                 .collect();
             pick_weighted(&shares, self.rng.random())
         });
-        let info = &world.classes[class];
+        let class_info = &world.classes[class];
         let spread = self.work_spread[class].map_or(1.0, |spread| spread.sample(&mut self.rng));
         let number = self.next_number;
         self.next_number += 1;
@@ -152,14 +152,14 @@
                 .unwrap_or_else(|| pick_weighted(&world.load.zone_shares, self.rng.random()) as u32),
             class,
             tenant,
-            work: (info.work * spread).max(1.0),
-            io_wait: info.io_wait,
+            work: (class_info.work * spread).max(1.0),
+            io_wait: class_info.io_wait,
             honors_retry_after: self.rng.random::<f64>() < world.load.retry_after_share,
         }
     }
 }
 
-/// When a client retries after a try, or `None` if it gives up. `tries` is the number of tries before this
+/// When a client retries after a try, or `None` if it gives up. `try_number` is the number of tries before this
 /// one, `now` the time at which the client saw it end.
 pub fn next_retry(
     world: &World,
@@ -183,8 +183,8 @@
     let wait = match load.retry_policy {
         RetryPolicy::Never | RetryPolicy::Immediate => 0,
         RetryPolicy::Backoff => {
-            let doubled = load.backoff << try_number.min(MAX_DOUBLINGS);
-            (doubled as f64 * (0.5 + rng.random::<f64>())) as Nanos
+            let backoff = load.backoff << try_number.min(MAX_DOUBLINGS);
+            (backoff as f64 * (0.5 + rng.random::<f64>())) as Nanos
         }
     };
     let retry_after = match outcome {
--- a/model/src/dedup.rs
+++ b/model/src/dedup.rs
@@ -44,7 +44,7 @@
     /// A server accepted the request: its repeats are answered without running for `window`.
     pub fn insert(&mut self, key: DedupKey, job: JobRef, window: Nanos, now: Nanos) {
         if self.entries.len() >= self.sweep_at.max(MIN_SWEEP_SIZE) {
-            self.entries.retain(|_, seen| now < seen.expires_at);
+            self.entries.retain(|_, entry| now < entry.expires_at);
             self.sweep_at = 2 * self.entries.len();
         }
         self.entries.insert(key, Entry { expires_at: now.saturating_add(window), job });
@@ -54,7 +54,7 @@
     /// A job ended. If it was not completed, its key is removed so that a repeat runs.
     pub fn job_ended(&mut self, job: JobRef, completed: bool) {
         let Some(key) = self.running.remove(&job) else { return };
-        if !completed && self.entries.get(&key).is_some_and(|seen| seen.job == job) {
+        if !completed && self.entries.get(&key).is_some_and(|entry| entry.job == job) {
             self.entries.remove(&key);
         }
     }
--- a/model/src/invariants.rs
+++ b/model/src/invariants.rs
@@ -1,6 +1,6 @@
 //! Invariants checked in every run, from what clients, nodes and servers observed.
 //!
-//! The checker is told what happened and records violations with the id of the request. It does not depend on
+//! The checker is given observations and records violations with the id of the request. It does not depend on
 //! the source of the observations, so it serves both virtual time and real sockets.
 
 use std::collections::HashMap;
@@ -140,8 +140,8 @@
 }
 
 struct Record {
-    effect: Idempotency,
-    window: Nanos,
+    idempotency: Idempotency,
+    dedup_window: Nanos,
     not_after: Nanos,
     excused: bool,
     answered: Option<(FinalAnswer, Nanos)>,
@@ -165,8 +165,8 @@
 impl InvariantChecker {
     /// Creates a checker; times of violations are relative to `start`.
     pub fn new(tolerances: Tolerances, start: Nanos) -> Self {
-        let named = |rule: &Rule| RuleReport { name: rule.name().to_owned(), ..RuleReport::default() };
-        Self { tolerances, start, requests: HashMap::new(), reports: RULES.iter().map(named).collect() }
+        let report = |rule: &Rule| RuleReport { name: rule.name().to_owned(), ..RuleReport::default() };
+        Self { tolerances, start, requests: HashMap::new(), reports: RULES.iter().map(report).collect() }
     }
 
     /// Counts a check of a rule.
@@ -189,13 +189,13 @@
         &mut self,
         id: u64,
         idempotency: Idempotency,
-        window: Nanos,
+        dedup_window: Nanos,
         not_after: Nanos,
         now: Nanos,
     ) {
         let record = Record {
-            effect: idempotency,
-            window,
+            idempotency,
+            dedup_window,
             not_after,
             excused: false,
             answered: None,
@@ -210,7 +210,7 @@
         self.requests.get_mut(&id).into_iter().for_each(|record| record.excused = true);
     }
 
-    /// An attempt arrived at a server. `drains` is when the node was notified that the server drains. Returns
+    /// An attempt arrived at a server. `drain_notified_at` is when the node was notified that the server drains. Returns
     /// the index of the attempt.
     pub fn attempt_arrived(
         &mut self,
@@ -232,51 +232,54 @@
             return None;
         };
         record.last_activity = now;
-        let since = |at: Nanos| at.saturating_sub(start) as f64 / 1e6;
+        let since_start_ms = |at: Nanos| at.saturating_sub(start) as f64 / 1e6;
         let mut violations: Vec<(Rule, String)> = Vec::new();
-        let mut checked = Vec::new();
+        let mut checked_rules = Vec::new();
         if let Some(first) = record.attempts.iter().find(|attempt| attempt.may_have_run) {
-            match record.effect {
+            match record.idempotency {
                 Idempotency::Idempotent => {}
                 Idempotency::NonIdempotent => {
-                    checked.push(Rule::RunsOnce);
+                    checked_rules.push(Rule::RunsOnce);
                     violations.push((
                         Rule::RunsOnce,
                         format!("attempt at server {server} after server {} may have run it", first.server),
                     ));
                 }
                 Idempotency::Keyed => {
-                    checked.push(Rule::KeyedInGroup);
+                    checked_rules.push(Rule::KeyedInGroup);
                     let age = now.saturating_sub(first.started_at);
                     if first.cell != cell {
                         violations.push((
                             Rule::KeyedInGroup,
                             format!("repeated in group {cell} after an attempt in group {}", first.cell),
                         ));
-                    } else if age > record.window + tolerances.clock_skew {
-                        let (age, window) = (age / 1_000_000, record.window / 1_000_000);
+                    } else if age > record.dedup_window + tolerances.clock_skew {
+                        let (age_ms, window_ms) = (age / 1_000_000, record.dedup_window / 1_000_000);
                         violations.push((
                             Rule::KeyedInGroup,
                             format!(
-                                "repeated {age} ms after the first attempt, outside the window of {window} ms"
+                                "repeated {age_ms} ms after the first attempt, outside the window of {window_ms} ms"
                             ),
                         ));
                     }
                 }
             }
         }
-        checked.push(Rule::DrainKept);
+        checked_rules.push(Rule::DrainKept);
         if let Some(notified_at) = drain_notified_at
             .filter(|notified_at| now > notified_at + tolerances.drain_grace + tolerances.clock_skew)
         {
             violations.push((
                 Rule::DrainKept,
-                format!("server {server} is draining, its node was notified at {:.0} ms", since(notified_at)),
+                format!(
+                    "server {server} is draining, its node was notified at {:.0} ms",
+                    since_start_ms(notified_at)
+                ),
             ));
         }
         record.attempts.push(Attempt { server, cell, started_at: now, ended_at: None, may_have_run: true });
         let index = record.attempts.len() - 1;
-        checked.into_iter().for_each(|rule| self.record_check(rule));
+        checked_rules.into_iter().for_each(|rule| self.record_check(rule));
         for (rule, detail) in violations {
             self.record_violation(rule, wire_id(id), now, detail);
         }
@@ -318,12 +321,12 @@
         if record.answered.is_some() {
             violations.push((Rule::OneOutcome, "answered twice".to_owned()));
         } else if !record.excused && now > record.not_after + tolerances.answer_slack {
-            let late = (now - record.not_after) / 1_000_000;
-            violations.push((Rule::OneOutcome, format!("answered {late} ms after the deadline")));
+            let late_ms = (now - record.not_after) / 1_000_000;
+            violations.push((Rule::OneOutcome, format!("answered {late_ms} ms after the deadline")));
         }
         let ran = record.attempts.iter().find(|attempt| attempt.may_have_run).map(|attempt| attempt.server);
         if let (FinalAnswer::Rejected, Some(server), false) =
-            (answer, ran, record.effect == Idempotency::Idempotent)
+            (answer, ran, record.idempotency == Idempotency::Idempotent)
         {
             violations.push((Rule::RunsOnce, format!("rejected although server {server} may have run it")));
         }
@@ -347,8 +350,8 @@
 
     /// Removes a request that has no attempts in flight.
     pub fn remove_if_done(&mut self, id: u64) {
-        let done = |record: &Record| record.attempts.iter().all(|attempt| attempt.ended_at.is_some());
-        if self.requests.get(&id).is_some_and(done) {
+        let is_done = |record: &Record| record.attempts.iter().all(|attempt| attempt.ended_at.is_some());
+        if self.requests.get(&id).is_some_and(is_done) {
             self.requests.remove(&id);
         }
     }
@@ -359,7 +362,7 @@
     }
 
     /// A cold server crashed. It is a violation only if it was overloaded by nodes that knew of its start
-    /// (`told`).
+    /// (`informed`).
     pub fn server_crashed(&mut self, server: &str, informed: bool, now: Nanos) {
         self.record_check(Rule::ColdSpared);
         if informed {
--- a/model/src/scenario.rs
+++ b/model/src/scenario.rs
@@ -3,7 +3,7 @@
 //! [`World::sample`](crate::world::World::sample) draws all random values from a seed.
 
 use std::fmt;
-use std::ops::Range as Bytes;
+use std::ops::Range as StdRange;
 
 use serde::de::{self, SeqAccess, Visitor};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
@@ -106,7 +106,7 @@
 }
 
 /// Byte span in a file; empty if there is no file.
-pub type Span = Bytes<usize>;
+pub type Span = StdRange<usize>;
 
 /// An invalid value in a scenario.
 #[derive(Clone, Debug, PartialEq)]
@@ -171,7 +171,7 @@
     pub instances: u32,
     /// Sequential registrations per second; each must be present at the end of the run.
     pub writes_per_s: f64,
-    /// Clients that watch the list and verify its order, each starting with a different replica.
+    /// Clients that watch the list and verify what they receive, each starting with a different replica.
     pub watchers: u32,
     /// Number of clients watching the first replica in each equal part of the run, while the list changes.
     #[serde(rename = "crowd")]
@@ -586,9 +586,9 @@
 
 impl Fault {
     /// A fault without targets that lasts until the end of the run.
-    pub fn new(what: FaultKind, at_s: Range) -> Self {
+    pub fn new(kind: FaultKind, at_s: Range) -> Self {
         Self {
-            kind: what,
+            kind,
             at_s,
             duration_s: None,
             target: None,
--- a/model/src/server.rs
+++ b/model/src/server.rs
@@ -429,14 +429,14 @@
             return None;
         }
         let wait_end = self.wait_phase.peek().map(|Reverse((at, _))| *at).filter(|_| !self.fault.hung);
-        let congestion = self.spec.congestion.and_then(|congestion| match self.congested_since {
+        let congestion_change = self.spec.congestion.and_then(|congestion| match self.congested_since {
             None => self.overloaded_since.map(|since| since + congestion.onset),
             Some(since) => Some(
                 (since + congestion.max_duration)
                     .min(self.calm_since.map_or(Nanos::MAX, |at| at + congestion.recovery_time)),
             ),
         });
-        let next = [self.cpu_phase_end(), wait_end, congestion].into_iter().flatten().min()?;
+        let next = [self.cpu_phase_end(), wait_end, congestion_change].into_iter().flatten().min()?;
         Some(next.max(self.now))
     }
 
@@ -483,7 +483,7 @@
         if let Some(&Reverse((target, id))) = self.cpu_phase.peek()
             && self.cpu_phase_end().is_some_and(|at| at <= self.now)
         {
-            // Avoids an endless loop if rounding leaves the total just below the target.
+            // Rounding may leave the total just below the target.
             self.service_total = self.service_total.max(target.0);
             self.cpu_phase.pop();
             self.cpu_jobs -= 1;
@@ -527,13 +527,13 @@
         let jobs_per_core = self.jobs.len() as f64 / self.spec.cores;
         let excess = (jobs_per_core / self.spec.thrash_at.max(1e-9) - 1.0).max(0.0);
         let connection_share = self.connections as f64 / self.spec.max_connections.max(1) as f64;
-        let congestion = match (self.congested_since, self.spec.congestion) {
-            (Some(_), Some(choke)) => choke.slowdown,
+        let congestion_slowdown = match (self.congested_since, self.spec.congestion) {
+            (Some(_), Some(congestion)) => congestion.slowdown,
             _ => 1.0,
         };
         let efficiency = (1.0 - self.spec.connection_overhead * connection_share)
             * (1.0 - self.fault.stolen_cpu)
-            / ((1.0 + self.spec.thrash * excess) * congestion * self.fault.slowdown);
+            / ((1.0 + self.spec.thrash * excess) * congestion_slowdown * self.fault.slowdown);
         let share = (self.spec.cores / self.cpu_jobs as f64).min(1.0);
         self.spec.speed * efficiency * share
     }
@@ -549,31 +549,31 @@
         Some(self.now.saturating_add(self.ramp_time(service).ceil() as Nanos))
     }
 
-    /// Time until the integral of the warm-up ramp from now on reaches `wanted`, in nanoseconds.
+    /// Time until the integral of the warm-up ramp from now on reaches `service`, in nanoseconds.
     fn ramp_time(&self, service: f64) -> f64 {
-        let (from, ramp) = (self.capacity_share(self.now), self.ramp_slope());
-        let Some(slope) = ramp else { return service };
+        let (from, slope) = (self.capacity_share(self.now), self.ramp_slope());
+        let Some(slope) = slope else { return service };
         let until_warm = (1.0 - from) / slope;
         let integral_until_warm = until_warm * (from + 1.0) / 2.0;
         if service >= integral_until_warm {
             return until_warm + (service - integral_until_warm);
         }
-        // Solves from * t + slope * t * t / 2 = wanted.
+        // Solves from * t + slope * t * t / 2 = service.
         ((from * from + 2.0 * slope * service).sqrt() - from) / slope
     }
 
-    /// Integral of the warm-up ramp over `span` from now on, in nanoseconds.
-    fn ramp_integral(&self, elapsed: f64) -> f64 {
+    /// Integral of the warm-up ramp over `duration` from now on, in nanoseconds.
+    fn ramp_integral(&self, duration: f64) -> f64 {
         let from = self.capacity_share(self.now);
-        let Some(slope) = self.ramp_slope() else { return elapsed };
-        let until_warm = ((1.0 - from) / slope).min(elapsed);
-        until_warm * (from + slope * until_warm / 2.0) + (elapsed - until_warm)
+        let Some(slope) = self.ramp_slope() else { return duration };
+        let until_warm = ((1.0 - from) / slope).min(duration);
+        until_warm * (from + slope * until_warm / 2.0) + (duration - until_warm)
     }
 
     /// Slope of the warm-up ramp per nanosecond; `None` once warm.
     fn ramp_slope(&self) -> Option<f64> {
-        let gain = (1.0 - self.spec.initial_capacity) / self.spec.slow_start_window.max(1) as f64;
-        (gain > 0.0 && self.capacity_share(self.now) < 1.0).then_some(gain)
+        let slope = (1.0 - self.spec.initial_capacity) / self.spec.slow_start_window.max(1) as f64;
+        (slope > 0.0 && self.capacity_share(self.now) < 1.0).then_some(slope)
     }
 
     fn advance_clock(&mut self, now: Nanos) {
@@ -637,8 +637,8 @@
         let Some(congestion) = self.spec.congestion else { return };
         let overloaded = self.queued_per_core() >= congestion.queued_per_core;
         self.overloaded_since = overloaded.then(|| self.overloaded_since.unwrap_or(self.now));
-        let busy = (self.cpu_jobs as f64 / self.spec.cores).min(1.0);
-        let calm = busy < congestion.recovery_utilization;
+        let utilization = (self.cpu_jobs as f64 / self.spec.cores).min(1.0);
+        let calm = utilization < congestion.recovery_utilization;
         self.calm_since = calm.then(|| self.calm_since.unwrap_or(self.now));
     }
 
--- a/model/src/simulation.rs
+++ b/model/src/simulation.rs
@@ -61,9 +61,9 @@
                 mix(count);
             }
         }
-        for step in self.stats.total_latency.iter_recorded() {
-            mix(step.value_iterated_to());
-            mix(step.count_since_last_iteration());
+        for bucket in self.stats.total_latency.iter_recorded() {
+            mix(bucket.value_iterated_to());
+            mix(bucket.count_since_last_iteration());
         }
         [self.stats.tries, self.stats.attempts, self.stats.cross_zone_attempts].into_iter().for_each(mix);
         hash
@@ -128,13 +128,13 @@
             shards.iter().filter_map(Shard::next_event_at).min().filter(|next| *next < stop)
         {
             let until = (from + lookahead).min(stop);
-            let mut mail: Vec<Vec<OutgoingEvent>> = Vec::new();
+            let mut outgoing: Vec<Vec<OutgoingEvent>> = Vec::new();
             for shard in &mut shards {
                 shard.run_until(until);
-                mail.push(std::mem::take(&mut shard.outbox));
+                outgoing.push(std::mem::take(&mut shard.outbox));
             }
-            for mail in mail.into_iter().flatten() {
-                shards[mail.zone as usize].schedule_remote(mail.at, mail.event);
+            for event in outgoing.into_iter().flatten() {
+                shards[event.zone as usize].schedule_remote(event.at, event.event);
             }
             if shards.iter().any(|shard| shard.error.is_some()) {
                 break;
@@ -169,9 +169,9 @@
             barrier.wait();
             for (zone, shard) in &mut own {
                 for sender in &outboxes {
-                    let mut mail = sender.lock().unwrap_or_else(PoisonError::into_inner);
-                    for mail in mail.extract_if(.., |mail| mail.zone as usize == *zone) {
-                        shard.schedule_remote(mail.at, mail.event);
+                    let mut outbox = sender.lock().unwrap_or_else(PoisonError::into_inner);
+                    for event in outbox.extract_if(.., |event| event.zone as usize == *zone) {
+                        shard.schedule_remote(event.at, event.event);
                     }
                 }
                 let next = if shard.error.is_some() { Some(stop) } else { shard.next_event_at() };
--- a/model/src/slab.rs
+++ b/model/src/slab.rs
@@ -61,8 +61,8 @@
     }
 }
 
-fn key(place: u32, generation: u32) -> u64 {
-    u64::from(generation) << INDEX_BITS | u64::from(place)
+fn key(index: u32, generation: u32) -> u64 {
+    u64::from(generation) << INDEX_BITS | u64::from(index)
 }
 
 fn index(key: u64) -> usize {
--- a/model/tests/server.rs
+++ b/model/tests/server.rs
@@ -88,13 +88,13 @@
 
 #[test]
 fn overloaded_cold_server_crashes_and_stays_down() {
-    let (warm_after, tip_span) = (100 * SECOND, SECOND);
+    let (slow_start_window, overload_window) = (100 * SECOND, SECOND);
     let spec = ServerSpec {
         cores: 1.0,
         initial_capacity: 0.2,
-        slow_start_window: warm_after,
+        slow_start_window,
         overload_factor: 3.0,
-        overload_window: tip_span,
+        overload_window,
         ..spec()
     };
     let mut server = Server::new(spec, 0);
@@ -222,15 +222,15 @@
 
 /// Number of 100 ms requests that a cold server accepts in a second, one every 10 ms, and whether informed
 /// senders overloaded it. `informed` tells whether the sender of a request knew of the server's start.
-fn accepted_by_cold_server(tip_multiple: f64, informed: impl Fn(u64) -> bool) -> (u64, bool) {
-    let (warm_after, tip_mean) = (1000 * SECOND, 100.0 * MS as f64);
+fn accepted_by_cold_server(overload_factor: f64, informed: impl Fn(u64) -> bool) -> (u64, bool) {
+    let (slow_start_window, mean_work) = (1000 * SECOND, 100.0 * MS as f64);
     let spec = ServerSpec {
         cores: 1.0,
         concurrency: 1000,
         initial_capacity: 0.2,
-        slow_start_window: warm_after,
-        overload_factor: tip_multiple,
-        mean_work: tip_mean,
+        slow_start_window,
+        overload_factor,
+        mean_work,
         ..spec()
     };
     let mut server = Server::new(ServerSpec { overload_window: SECOND, ..spec }, 0);
--- a/model/tests/virtual_time.rs
+++ b/model/tests/virtual_time.rs
@@ -11,8 +11,8 @@
     SimulationOptions { load_duration: DURATION, tick: 0, threads: 1 }
 }
 
-fn fault(what: FaultKind) -> Fault {
-    Fault { duration_s: Some(Range::fixed(6.0)), ..Fault::new(what, Range::fixed(5.0)) }
+fn fault(kind: FaultKind) -> Fault {
+    Fault { duration_s: Some(Range::fixed(6.0)), ..Fault::new(kind, Range::fixed(5.0)) }
 }
 
 fn scenario(faults: Vec<Fault>) -> Scenario {
@@ -59,18 +59,18 @@
 
 #[test]
 fn no_rule_is_violated_under_any_fault() {
-    let servers = |what, factor: Option<f64>| Fault {
+    let servers = |kind, factor: Option<f64>| Fault {
         share: Some(Range::fixed(0.2)),
         factor: factor.map(Range::fixed),
-        ..fault(what)
+        ..fault(kind)
     };
-    let link = |what, factor: Option<f64>| Fault {
+    let link = |kind, factor: Option<f64>| Fault {
         from: Some("a".into()),
         to: Some("b".into()),
         factor: factor.map(Range::fixed),
-        ..fault(what)
+        ..fault(kind)
     };
-    let nodes = |what| Fault { count: Some(2), ..fault(what) };
+    let nodes = |kind| Fault { count: Some(2), ..fault(kind) };
     let zone = |cold| Fault { target: Some("a".into()), cold, ..fault(FaultKind::LoseZone) };
     let cases = [
         vec![servers(FaultKind::SlowServer, Some(5.0))],
@@ -175,12 +175,12 @@
     );
 }
 
-fn scenario_with_fault_on_all_links(what: FaultKind, factor: f64) -> Scenario {
+fn scenario_with_fault_on_all_links(kind: FaultKind, factor: f64) -> Scenario {
     let mut scenario = scenario(vec![Fault {
         from: Some("*".into()),
         to: Some("*".into()),
         factor: Some(Range::fixed(factor)),
-        ..fault(what)
+        ..fault(kind)
     }]);
     scenario.fleet.zones.truncate(1);
     scenario
