--- a/cli/src/print.rs
+++ b/cli/src/print.rs
@@ -32,25 +32,25 @@
 
 /// How a run goes, in one line: over the last one on a terminal, else below it.
 pub fn live(progress: &Progress) {
-    let lately = &progress.lately;
+    let lately = &progress.interval;
     let share = |part: u64| 100.0 * part as f64 / lately.requests.max(1) as f64;
     let mut line = format!(
         "{:>4.0} s  asked {:>5}/s  in time {:>5.1}%  refused {:>4.1}%  failed {:>4.1}%  p50 {:>5.0} ms  p99 {:>5.0} ms  \
          servers {}/{}  nodes {}/{}",
-        progress.at_s,
+        progress.elapsed_s,
         lately.requests,
         share(lately.in_time),
         share(lately.rejected),
         share(lately.failed),
-        progress.p50_ms,
-        progress.p99_ms,
+        progress.latency_p50_ms,
+        progress.latency_p99_ms,
         progress.servers.0,
         progress.servers.1,
         progress.nodes.0,
         progress.nodes.1,
     );
-    if progress.broken > 0 {
-        line.push_str(&format!("  RULES BROKEN {}", progress.broken));
+    if progress.violations > 0 {
+        line.push_str(&format!("  RULES BROKEN {}", progress.violations));
     }
     let mut out = std::io::stderr();
     let _ = if out.is_terminal() { write!(out, "\r\x1b[K{line}") } else { writeln!(out, "{line}") };
--- a/cli/src/rig.rs
+++ b/cli/src/rig.rs
@@ -92,7 +92,7 @@
 
 /// Becomes true at Ctrl-C or SIGTERM.
 pub fn told_to_stop() -> Result<watch::Receiver<bool>, RunError> {
-    let heed = |kind| signal(kind).map_err(|source| RunError::Machine { what: "a signal", source });
+    let heed = |kind| signal(kind).map_err(|source| RunError::Setup { resource: "a signal", source });
     let (mut interrupt, mut terminate) = (heed(SignalKind::interrupt())?, heed(SignalKind::terminate())?);
     let (tell, told) = watch::channel(false);
     tokio::spawn(async move {
@@ -206,7 +206,7 @@
             Err(error) => {
                 complain(&error.to_string());
                 match error {
-                    play::PlayError::Run(RunError::Links(_)) => Exit::Usage,
+                    play::PlayError::Run(RunError::TooManyLinks(_)) => Exit::Usage,
                     _ => Exit::Machine,
                 }
             }
--- a/cli/src/up.rs
+++ b/cli/src/up.rs
@@ -5,7 +5,7 @@
 use clap::Args;
 use flaxdale_rig::experiment::Experiment;
 use flaxdale_rig::shared::lock;
-use flaxdale_rig::sockets::{self, RunError, Stage};
+use flaxdale_rig::sockets::{self, RunError, RunOptions};
 
 use crate::print::{complain, end_live, live, say};
 use crate::rig::{runtime, told_to_stop};
@@ -79,29 +79,29 @@
             self.servers,
             folder.path().join("logs").display()
         ));
-        let stage = Stage {
+        let stage = RunOptions {
             experiment,
             seed: self.seed,
-            binary,
-            own: own_program(),
+            node_binary: binary,
+            registry_binary: own_program(),
             folder: folder.path().to_owned(),
             keeper: keeper(),
-            folder_goes: true,
-            endless: self.seconds.is_none(),
+            remove_folder: true,
+            until_stopped: self.seconds.is_none(),
         };
         let ran = runtime.block_on(async { sockets::play(stage, told_to_stop()?, live).await });
         end_live();
         match ran {
             Ok(ran) => {
-                let total = lock(&ran.shared.tally).total();
+                let total = lock(&ran.shared.stats).total();
                 let broken: u64 =
-                    lock(&ran.shared.book).ledger.reports().iter().map(|rule| rule.violated).sum();
+                    lock(&ran.shared.tracker).invariants.reports().iter().map(|rule| rule.violated).sum();
                 let share = |part: u64| 100.0 * part as f64 / total.requests.max(1) as f64;
                 say(&format!(
                     "{} requests in {:.0} s: {:.1}% in time, {:.1}% refused, {:.1}% failed; {broken} rules broken; all \
                      processes have ended",
                     total.requests,
-                    ran.load_s,
+                    ran.load_duration_s,
                     share(total.in_time),
                     share(total.rejected),
                     share(total.failed)
@@ -110,7 +110,7 @@
             }
             Err(error) => {
                 complain(&error.to_string());
-                if matches!(error, RunError::Links(_)) { Exit::Usage } else { Exit::Machine }
+                if matches!(error, RunError::TooManyLinks(_)) { Exit::Usage } else { Exit::Machine }
             }
         }
     }
--- a/cli/tests/registry/site.rs
+++ b/cli/tests/registry/site.rs
@@ -14,7 +14,7 @@
 use flaxdale_registry::client::{Client, ClientError};
 use flaxdale_registry::list::State;
 use flaxdale_registry::wire::{Listing, Target};
-use flaxdale_rig::listener::Port;
+use flaxdale_rig::listener::ReservedPort;
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -46,7 +46,7 @@
     data: PathBuf,
     pub log: PathBuf,
     child: Option<Child>,
-    _ports: [Port; 2],
+    _ports: [ReservedPort; 2],
 }
 
 /// A registry of several processes.
@@ -100,9 +100,10 @@
         let folder = tempfile::tempdir().expect("a folder");
         let gates: Gates =
             Arc::new((0..count).map(|_| (0..count).map(|_| watch::Sender::new(true)).collect()).collect());
-        let ports: Vec<[Port; 2]> =
-            (0..count).map(|_| [Port::hold().expect("a port"), Port::hold().expect("a port")]).collect();
-        let at = |port: &Port| port.at().expect("its address");
+        let ports: Vec<[ReservedPort; 2]> = (0..count)
+            .map(|_| [ReservedPort::reserve().expect("a port"), ReservedPort::reserve().expect("a port")])
+            .collect();
+        let at = |port: &ReservedPort| port.address().expect("its address");
         let peers: Vec<SocketAddr> = ports.iter().map(|[_, peer]| at(peer)).collect();
         let mut replicas = Vec::new();
         for (own, ports) in ports.into_iter().enumerate() {
--- a/rig/src/agents.rs
+++ b/rig/src/discovery.rs
@@ -121,7 +121,7 @@
     async fn hear(self: Arc<Self>) {
         let shared = self.shared.clone();
         let spread = lock(&self.luck).random_range(0..250_000_000u64);
-        if shared.begun.subscribe().wait_for(|begun| *begun).await.is_err() {
+        if shared.load_started.subscribe().wait_for(|begun| *begun).await.is_err() {
             return;
         }
         let timeline = shared.timeline();
@@ -245,8 +245,8 @@
     /// Remembers from when on this node may send nothing new to whom, and whose start it knows.
     fn told(&self, members: &[Member], now: Nanos) {
         let starts = members.iter().filter_map(|member| Some((member.backend.0, member.online_since?)));
-        lock(&self.shared.starts[self.node]).extend(starts);
-        let mut drains = lock(&self.shared.drains[self.node]);
+        lock(&self.shared.notified_starts[self.node]).extend(starts);
+        let mut drains = lock(&self.shared.notified_drains[self.node]);
         for member in members {
             if member.stage == Stage::InService {
                 drains.remove(&member.backend.0);
--- a/rig/src/orders.rs
+++ b/rig/src/fleet_file.rs
@@ -19,7 +19,7 @@
 
 impl FleetFile {
     /// Writes a node's file as it is before the load; `addresses` are the registry's, if there is one.
-    pub fn write_first(
+    pub fn create(
         shared: Arc<Shared>,
         node: usize,
         addresses: Vec<SocketAddr>,
@@ -27,7 +27,7 @@
     ) -> std::io::Result<Self> {
         let file = folder.join(format!("{}-fleet.toml", shared.world.nodes[node].name));
         let own = Self { file, addresses, shared };
-        own.write(0)?;
+        own.update(0)?;
         Ok(own)
     }
 
@@ -37,7 +37,7 @@
     }
 
     /// Writes it with what is ordered at this time.
-    pub fn write(&self, now: Nanos) -> std::io::Result<()> {
+    pub fn update(&self, now: Nanos) -> std::io::Result<()> {
         let zones = &self.shared.world.zones;
         let named = |order: &brookfield::ZoneOverride| {
             (zones[order.zone.0 as usize].clone(), Zone { share: order.traffic_share, ..Zone::default() })
--- a/rig/src/lib.rs
+++ b/rig/src/lib.rs
@@ -4,20 +4,21 @@
 //! virtual time, and reports what they came to.
 //!
 //! [`experiment`] reads what is to be played, [`play`] plays it and writes the results, [`compare`] holds two results
-//! against each other. On sockets [`sockets`] runs the parties: [`servers`] (emulated app servers), [`agents`] (the list
-//! service), [`relay`] (links that can be cut), [`callers`] (clients) and [`nodes`] (the real processes, each a
-//! [`process`], with the [`orders`] in their fleet files), which [`keeper`] ends if the rig can't. Where a fleet has its
+//! against each other. On sockets [`sockets`] runs the parties: [`servers`] (emulated app servers), [`discovery`] (the list
+//! service), [`relay`] (links that can be cut), [`load_generator`] (clients) and [`nodes`] (the real processes, each a
+//! [`process`], with its [`fleet_file`]), which [`keeper`] ends if the rig can't. Where a fleet has its
 //! own registry, [`registry`] plays it: [`replicas`] are its processes, [`registrants`] who registers there, and
 //! [`watchers`] clients that keep account of what it tells.
 
-pub mod agents;
-pub mod callers;
+pub mod adapter;
 pub mod compare;
+pub mod discovery;
 pub mod experiment;
+pub mod fleet_file;
 pub mod keeper;
 pub mod listener;
+pub mod load_generator;
 pub mod nodes;
-pub mod orders;
 pub mod play;
 pub mod process;
 pub mod rank;
@@ -31,4 +32,3 @@
 pub mod shared;
 pub mod sockets;
 pub mod watchers;
-pub mod wire;
--- a/rig/src/listener.rs
+++ b/rig/src/listener.rs
@@ -52,16 +52,16 @@
 }
 
 /// A port held for a process that will listen there by its number, and meanwhile nobody else is given it.
-pub struct Port(TcpSocket);
+pub struct ReservedPort(TcpSocket);
 
-impl Port {
+impl ReservedPort {
     /// A port that nobody has.
-    pub fn hold() -> io::Result<Self> {
+    pub fn reserve() -> io::Result<Self> {
         held(|socket| Ok(Self(socket)))
     }
 
     /// Its address.
-    pub fn at(&self) -> io::Result<SocketAddr> {
+    pub fn address(&self) -> io::Result<SocketAddr> {
         self.0.local_addr()
     }
 }
--- a/rig/src/listener/tests.rs
+++ b/rig/src/listener/tests.rs
@@ -42,8 +42,8 @@
 
 #[tokio::test]
 async fn a_port_is_held_for_whoever_listens_there_by_its_number_alone() {
-    let port = Port::hold().expect("a port");
-    let at = port.at().expect("its address");
+    let port = ReservedPort::reserve().expect("a port");
+    let at = port.address().expect("its address");
     let other = TcpSocket::new_v4().expect("a socket");
     assert!(other.bind(at).is_err(), "one that just wants a free port is not given it");
     for _ in 0..2 {
--- a/rig/src/callers.rs
+++ b/rig/src/load_generator.rs
@@ -24,7 +24,7 @@
 use tokio::sync::Semaphore;
 use tokio::time::{sleep, timeout};
 
-use crate::shared::{Known, Shared, lock};
+use crate::shared::{RequestInfo, Shared, lock};
 
 /// An answer that is later than this, or none, is lost: its node owed one.
 pub const ANSWER_SLACK: Nanos = SECOND / 2;
@@ -150,7 +150,7 @@
         let shared = &self.shared;
         let mut tries = 0;
         let fate = loop {
-            lock(&shared.tally).tries += 1;
+            lock(&shared.stats).tries += 1;
             let seen = self.try_once(&ask).await;
             let now = shared.clock.now();
             let again = clients::next_retry(&shared.world, &ask, tries, seen, now, &mut *lock(&self.luck));
@@ -168,7 +168,7 @@
             tries += 1;
         };
         let now = shared.clock.now();
-        lock(&shared.tally).record(&shared.world, &ask, fate, now);
+        lock(&shared.stats).record(&shared.world, &ask, fate, now);
     }
 
     fn node_for(&self, zone: u32) -> Option<usize> {
@@ -190,19 +190,22 @@
         let harms = || self.places[node].harms.load(Ordering::Relaxed);
         let before = harms();
         {
-            let mut book = lock(&shared.book);
-            book.ledger.request_sent(id, class.idempotency, class.dedup_window, not_after, now);
+            let mut book = lock(&shared.tracker);
+            book.invariants.request_sent(id, class.idempotency, class.dedup_window, not_after, now);
             let key = (class.idempotency == Idempotency::Keyed).then_some((ask.number, class.dedup_window));
-            book.known.insert(id, Known { node, work: ask.work, wait: ask.io_wait, not_after, key });
+            book.requests.insert(
+                id,
+                RequestInfo { node, work: ask.work, io_wait: ask.io_wait, not_after, dedup_key: key },
+            );
         }
         let left = Duration::from_nanos((not_after + ANSWER_SLACK).saturating_sub(now));
         let got = timeout(left, self.ask_node(node, ask, id, not_after)).await.unwrap_or(Got::Nothing);
         let came = shared.clock.now();
         let excused = harms() != before || self.places[node].paused.load(Ordering::Relaxed);
-        let mut book = lock(&shared.book);
+        let mut book = lock(&shared.tracker);
         if excused || matches!(got, Got::Unreachable) {
             // Nobody took it, or whoever did was killed or paused by this rig.
-            book.ledger.excuse(id);
+            book.invariants.excuse(id);
         }
         let (answer, seen) = match got {
             Got::Answer(StatusCode::OK, _) => (Some(FinalAnswer::Served), TryOutcome::Served),
@@ -216,8 +219,8 @@
         // The account is kept for a while: a paused node may read the request yet and send it on, and a link that was
         // cut may deliver then what was given up long ago.
         match answer {
-            Some(answer) => book.ledger.request_answered(id, answer, came),
-            None => book.ledger.request_expired(id, came),
+            Some(answer) => book.invariants.request_answered(id, answer, came),
+            None => book.invariants.request_expired(id, came),
         }
         // The client itself has gone by then.
         if seen == TryOutcome::Served && came > not_after { TryOutcome::Failed } else { seen }
@@ -312,9 +315,9 @@
         loop {
             sleep(Duration::from_secs(2)).await;
             let then = self.shared.clock.now().saturating_sub(KNOWN_FOR);
-            let mut book = lock(&self.shared.book);
-            book.known.retain(|_, known| known.not_after >= then);
-            book.ledger.remove_idle_since(then);
+            let mut book = lock(&self.shared.tracker);
+            book.requests.retain(|_, known| known.not_after >= then);
+            book.invariants.remove_idle_since(then);
         }
     }
 
--- a/rig/src/nodes.rs
+++ b/rig/src/nodes.rs
@@ -17,9 +17,9 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout};
 
+use crate::fleet_file::FleetFile;
 use crate::keeper::{Keeper, signal};
-use crate::listener::Port;
-use crate::orders::FleetFile;
+use crate::listener::ReservedPort;
 use crate::process::{Ended, Holds, Process};
 use crate::shared::{Shared, lock};
 
@@ -106,7 +106,7 @@
     process: Process,
     at: Mutex<Option<SocketAddr>>,
     /// Its port is its own also while it is down.
-    port: Mutex<Option<Port>>,
+    port: Mutex<Option<ReservedPort>>,
     /// Its fleet file, if it has one.
     fleet: Option<FleetFile>,
     starts: Mutex<u32>,
@@ -184,7 +184,7 @@
                 source,
             })?;
         let pid = self.process.started(child);
-        self.shared.event("node-started", json!({"node": name, "pid": pid, "start": started}));
+        self.shared.record_event("node-started", json!({"node": name, "pid": pid, "start": started}));
         let patience = Instant::now() + self.program.patience;
         let at = loop {
             if let Some(at) = self.listens(begins) {
@@ -198,7 +198,7 @@
             self.still_there(patience)?;
             sleep(LOOK).await;
         }
-        self.shared.event("node-ready", json!({"node": name, "listen": at.to_string()}));
+        self.shared.record_event("node-ready", json!({"node": name, "listen": at.to_string()}));
         Ok(())
     }
 
@@ -206,8 +206,8 @@
     fn hold_port(&self) -> std::io::Result<SocketAddr> {
         let mut port = lock(&self.port);
         match &*port {
-            Some(port) => port.at(),
-            None => port.insert(Port::hold()?).at(),
+            Some(port) => port.address(),
+            None => port.insert(ReservedPort::reserve()?).address(),
         }
     }
 
@@ -251,7 +251,7 @@
     pub fn order(&self) -> Result<(), NodeError> {
         let Some(fleet) = &self.fleet else { return Ok(()) };
         let file = || fleet.path().display().to_string();
-        fleet.write(self.shared.clock.now()).map_err(|source| NodeError::File { file: file(), source })?;
+        fleet.update(self.shared.clock.now()).map_err(|source| NodeError::File { file: file(), source })?;
         self.pid().map(|pid| signal(pid, Signal::HUP));
         Ok(())
     }
@@ -275,7 +275,8 @@
     pub fn reap(&self) -> Option<String> {
         let Ended { pid, status, told } = self.process.reap()?;
         let (code, by) = (status.code(), status.signal());
-        self.shared.event("node-ended", json!({"node": self.name, "pid": pid, "code": code, "signal": by}));
+        self.shared
+            .record_event("node-ended", json!({"node": self.name, "pid": pid, "code": code, "signal": by}));
         (!told).then(|| format!("{} ended by itself ({status}): {}", self.name, tail(&self.log())))
     }
 
--- a/rig/src/play.rs
+++ b/rig/src/play.rs
@@ -18,7 +18,7 @@
 use crate::report;
 use crate::result::{FILE, FORMAT, Moment, Played, RunResult, Verdict};
 use crate::shared::lock;
-use crate::sockets::{self, Progress, Ran, RunError, Stage};
+use crate::sockets::{self, Progress, RunError, RunOptions, SocketRunResult};
 
 /// Requests whose way through the logs is told, and lines of each.
 const MOST_WAYS: usize = 10;
@@ -93,46 +93,54 @@
 ) -> Result<(RunResult, Vec<Value>), PlayError> {
     let version = version(Some(&order.binary));
     let (experiment, seed, name) = (order.experiment, order.seed, order.name);
-    let stage = Stage {
+    let stage = RunOptions {
         experiment: experiment.clone(),
         seed,
-        binary: order.binary,
-        own: order.own,
+        node_binary: order.binary,
+        registry_binary: order.own,
         folder: order.folder,
         keeper: order.keeper,
-        folder_goes: false,
-        endless: false,
+        remove_folder: false,
+        until_stopped: false,
     };
     let ran = sockets::play(stage, stop, progress).await?;
     let result = of_sockets(&ran, name, &experiment, seed, version);
     Ok((result, ran.shared.events()))
 }
 
-fn of_sockets(ran: &Ran, name: String, experiment: &Experiment, seed: u64, version: String) -> RunResult {
+fn of_sockets(
+    ran: &SocketRunResult,
+    name: String,
+    experiment: &Experiment,
+    seed: u64,
+    version: String,
+) -> RunResult {
     let shared = &ran.shared;
-    let tally = lock(&shared.tally).clone();
+    let tally = lock(&shared.stats).clone();
     let lateness = lock(&shared.lateness).value_at_quantile(0.99) as f64 / 1000.0;
     let mut measures = tally.measures(&shared.world, 0);
     let asked = tally.total().requests.max(1) as f64;
-    measures.insert("node_memory_mib_max".to_owned(), ran.most.0 as f64 / 1024.0);
-    measures.insert("node_descriptors_max".to_owned(), ran.most.1 as f64);
-    measures.insert("node_cpu_ms_per_request".to_owned(), ran.cpu_ms / asked);
+    measures.insert("node_memory_mib_max".to_owned(), ran.peak_usage.0 as f64 / 1024.0);
+    measures.insert("node_descriptors_max".to_owned(), ran.peak_usage.1 as f64);
+    measures.insert("node_cpu_ms_per_request".to_owned(), ran.node_cpu_ms / asked);
     measures.insert("rig_lateness_ms_p99".to_owned(), lateness);
-    if ran.rude.0 > 0 {
-        measures.insert("improper_peers".to_owned(), ran.rude.0 as f64);
-        measures
-            .insert("improper_peers_left_waiting_share".to_owned(), ran.rude.1 as f64 / ran.rude.0 as f64);
+    if ran.improper_peers.0 > 0 {
+        measures.insert("improper_peers".to_owned(), ran.improper_peers.0 as f64);
+        measures.insert(
+            "improper_peers_left_waiting_share".to_owned(),
+            ran.improper_peers.1 as f64 / ran.improper_peers.0 as f64,
+        );
     }
-    measures.extend(ran.registry.clone());
-    let invariants = lock(&shared.book).ledger.reports().to_vec();
+    measures.extend(ran.registry_measures.clone());
+    let invariants = lock(&shared.tracker).invariants.reports().to_vec();
     let late = lateness > experiment.run.lateness_ms;
     let reason = if late {
         Some(format!(
             "the rig was {lateness:.1} ms late at the 99th percentile, past {}",
             experiment.run.lateness_ms
         ))
-    } else if ran.turned_away > 0 {
-        Some(format!("the rig had no room for {} requests", ran.turned_away))
+    } else if ran.requests_dropped > 0 {
+        Some(format!("the rig had no room for {} requests", ran.requests_dropped))
     } else {
         None
     };
--- a/rig/src/rank.rs
+++ b/rig/src/rank.rs
@@ -4,8 +4,8 @@
 use flaxdale_model::simulation::{SimulationOptions, simulate_with};
 use flaxdale_model::world::{millis, seconds};
 
+use crate::adapter::Adapter;
 use crate::experiment::Experiment;
-use crate::wire::Adapter;
 
 /// Handled once in so long where an experiment names no tick: what the operators' simulator does.
 const TICK_MS: f64 = 5.0;
--- a/rig/src/registrants.rs
+++ b/rig/src/registrants.rs
@@ -134,7 +134,7 @@
         let mut registered: Option<(u64, bool)> = None;
         loop {
             every.tick().await;
-            let speaks = server.speaks();
+            let speaks = server.is_reachable();
             if !speaks {
                 // A process that has died or vanished says nothing: its lease lapses.
                 lock(&self.register.alive).remove(&uid);
@@ -143,18 +143,18 @@
                 }
                 continue;
             }
-            let boot_ms = server.began().map_or(self.shared.clock.now() - WARM, |began| began) / MS;
+            let boot_ms = server.started_at().map_or(self.shared.clock.now() - WARM, |began| began) / MS;
             let (life, drains) = match registered {
                 Some((life, drains)) => (life, drains),
                 None => {
-                    let target = self.target(&uid, server.at(), place.server, boot_ms);
+                    let target = self.target(&uid, server.address(), place.server, boot_ms);
                     self.register_until_done(&mut caller, &target).await;
                     lock(&self.register.alive).insert(uid.clone());
                     registered = Some((boot_ms, false));
                     continue;
                 }
             };
-            if server.leaves() && !drains {
+            if server.is_draining() && !drains {
                 lock(&self.register.alive).remove(&uid);
                 if caller.post("/registry/drain", &json!({"uid": uid, "boot_ms": life})).await.is_ok() {
                     registered = Some((life, true));
--- a/rig/src/registry.rs
+++ b/rig/src/registry.rs
@@ -18,7 +18,7 @@
 
 use crate::nodes::Program;
 use crate::registrants::Registrants;
-use crate::relay::Link;
+use crate::relay::Relay;
 use crate::replicas::Replicas;
 use crate::servers::AppServer;
 use crate::shared::{Shared, lock};
@@ -86,7 +86,8 @@
         let between = |one, other| touched(LinkEnd::Replica(one), LinkEnd::Replica(other));
         let replicas = Replicas::prepare(binary, program, shared.clone(), plan, folder, between)?;
         let addresses: Vec<SocketAddr> = replicas.all.iter().map(|one| one.client).collect();
-        let endpoints = servers.iter().filter(|server| server.is_up()).map(|server| server.at()).collect();
+        let endpoints =
+            servers.iter().filter(|server| server.is_up()).map(|server| server.address()).collect();
         let registrants = Registrants::new(shared.clone(), plan.clone(), addresses.clone(), endpoints);
         let register = registrants.register.clone();
         let watchers = Watchers::new(shared.clone(), register.clone(), addresses.clone(), HOLD);
@@ -119,7 +120,7 @@
         for (number, replica) in self.replicas.all.iter().enumerate() {
             addresses.push(if touched(LinkEnd::Node(node), LinkEnd::Replica(number)) {
                 let own = (LinkEnd::Node(node), info.zone);
-                Link::open(
+                Relay::start(
                     self.shared.clone(),
                     own,
                     flaxdale_model::timeline::replica_end(number),
@@ -208,11 +209,12 @@
         };
         let at = if begins { self.whom(who).await } else { self.was_harmed(&act) };
         let Some(at) = at else {
-            self.shared.event("fault-missed", json!({"fault": format!("{act:?}"), "why": "nobody to harm"}));
+            self.shared
+                .record_event("fault-missed", json!({"fault": format!("{act:?}"), "why": "nobody to harm"}));
             return;
         };
         let name = self.replicas.all[at].name.clone();
-        self.shared.event("replica-harmed", json!({"replica": name, "begins": begins}));
+        self.shared.record_event("replica-harmed", json!({"replica": name, "begins": begins}));
         match (&act, begins) {
             (FaultAction::PauseReplica(_), _) => drop(self.replicas.pause(at, begins)),
             (FaultAction::KillReplica(_), true) => self.replicas.kill(at, true).await,
@@ -220,7 +222,7 @@
             _ => {
                 self.restarted.store(true, Ordering::Relaxed);
                 if let Err(error) = self.replicas.start(at) {
-                    self.shared.breach(Rule::ProcessesEnded, name, error.to_string());
+                    self.shared.record_violation(Rule::ProcessesEnded, name, error.to_string());
                 }
             }
         }
@@ -257,7 +259,7 @@
     pub fn look_at(&self) {
         for at in 0..self.replicas.all.len() {
             if let Some(how) = self.replicas.reap(at) {
-                self.shared.breach(Rule::ProcessesEnded, self.replicas.all[at].name.clone(), how);
+                self.shared.record_violation(Rule::ProcessesEnded, self.replicas.all[at].name.clone(), how);
             }
         }
     }
@@ -315,10 +317,10 @@
             if self.replicas.pid(at).is_none() {
                 continue;
             }
-            lock(&self.shared.book).ledger.record_check(Rule::ProcessesEnded);
+            lock(&self.shared.tracker).invariants.record_check(Rule::ProcessesEnded);
             if !self.replicas.stop(at).await {
                 let what = "did not end after SIGTERM, and was killed".to_owned();
-                self.shared.breach(Rule::ProcessesEnded, self.replicas.all[at].name.clone(), what);
+                self.shared.record_violation(Rule::ProcessesEnded, self.replicas.all[at].name.clone(), what);
             }
         }
     }
--- a/rig/src/relay.rs
+++ b/rig/src/relay.rs
@@ -18,7 +18,7 @@
 use crate::shared::Shared;
 
 /// Links that a run may have at most: each holds a port and, while it is used, some descriptors.
-pub const MOST_LINKS: usize = 4096;
+pub const MAX_LINKS: usize = 4096;
 /// Bytes taken from a connection at a time, and pieces that may be on their way in one direction.
 const PIECE: usize = 16 * 1024;
 const PIECES: usize = 64;
@@ -26,19 +26,24 @@
 const LOOK: Duration = Duration::from_millis(10);
 
 /// A party and its zone.
-pub type End = (LinkEnd, u32);
+pub type ZonedEnd = (LinkEnd, u32);
 
 /// One link, from whoever opens the connections to whoever takes them.
-pub struct Link {
+pub struct Relay {
     shared: Arc<Shared>,
-    from: End,
-    to: End,
+    from: ZonedEnd,
+    to: ZonedEnd,
     target: SocketAddr,
 }
 
-impl Link {
+impl Relay {
     /// Opens a link and tells where it listens; it ends with the runtime.
-    pub fn open(shared: Arc<Shared>, from: End, to: End, target: SocketAddr) -> std::io::Result<SocketAddr> {
+    pub fn start(
+        shared: Arc<Shared>,
+        from: ZonedEnd,
+        to: ZonedEnd,
+        target: SocketAddr,
+    ) -> std::io::Result<SocketAddr> {
         let door = Door::open()?;
         let at = door.at();
         let number = 60_000 + u64::from(at.port());
--- a/rig/src/replicas.rs
+++ b/rig/src/replicas.rs
@@ -16,10 +16,10 @@
 use serde_json::{Value, json};
 use tokio::time::{Instant, sleep};
 
-use crate::listener::Port;
+use crate::listener::ReservedPort;
 use crate::nodes::Program;
 use crate::process::{Ended, Holds, Process};
-use crate::relay::Link as Relay;
+use crate::relay::Relay;
 use crate::shared::Shared;
 
 /// How often a replica that starts is looked at.
@@ -37,7 +37,7 @@
     data: PathBuf,
     log: PathBuf,
     process: Process,
-    _ports: [Port; 2],
+    _ports: [ReservedPort; 2],
 }
 
 /// The registry of a run.
@@ -60,20 +60,22 @@
         touched: impl Fn(usize, usize) -> bool,
     ) -> std::io::Result<Self> {
         let count = plan.replicas as usize;
-        let ports: Vec<[Port; 2]> =
-            (0..count).map(|_| Ok([Port::hold()?, Port::hold()?])).collect::<std::io::Result<_>>()?;
-        let peers: Vec<SocketAddr> = ports.iter().map(|[_, peer]| peer.at()).collect::<Result<_, _>>()?;
+        let ports: Vec<[ReservedPort; 2]> = (0..count)
+            .map(|_| Ok([ReservedPort::reserve()?, ReservedPort::reserve()?]))
+            .collect::<std::io::Result<_>>()?;
+        let peers: Vec<SocketAddr> =
+            ports.iter().map(|[_, peer]| peer.address()).collect::<Result<_, _>>()?;
         let mut all = Vec::new();
         for (own, ports) in ports.into_iter().enumerate() {
             let name = format!("r{own}");
             let mut via = toml::Table::new();
             for (other, peer) in peers.iter().enumerate() {
                 if other != own && touched(own, other) {
-                    let relay = Relay::open(shared.clone(), end_of(own), end_of(other), *peer)?;
+                    let relay = Relay::start(shared.clone(), end_of(own), end_of(other), *peer)?;
                     via.insert(peer.to_string(), relay.to_string().into());
                 }
             }
-            let client = ports[0].at()?;
+            let client = ports[0].address()?;
             let data = folder.join(format!("{name}-data"));
             let settings = json!({"fleet": "rig", "listen": client.to_string(), "peer_listen": peers[own].to_string(),
                 "replicas": peers.iter().map(SocketAddr::to_string).collect::<Vec<_>>(),
@@ -103,7 +105,7 @@
             .stderr(log)
             .spawn()?;
         let pid = one.process.started(child);
-        self.shared.event("replica-started", json!({"replica": one.name, "pid": pid}));
+        self.shared.record_event("replica-started", json!({"replica": one.name, "pid": pid}));
         Ok(())
     }
 
@@ -174,8 +176,10 @@
     pub async fn kill(&self, at: usize, store: bool) {
         self.all[at].process.end(Signal::KILL, || drop(self.reap(at))).await;
         if !store && let Err(error) = std::fs::remove_dir_all(&self.all[at].data) {
-            self.shared
-                .event("rig-trouble", json!({"replica": self.all[at].name, "cause": error.to_string()}));
+            self.shared.record_event(
+                "rig-trouble",
+                json!({"replica": self.all[at].name, "cause": error.to_string()}),
+            );
         }
     }
 
@@ -189,7 +193,7 @@
     pub fn reap(&self, at: usize) -> Option<String> {
         let one = &self.all[at];
         let Ended { status, told, .. } = one.process.reap()?;
-        self.shared.event("replica-ended", json!({"replica": one.name, "status": status.to_string()}));
+        self.shared.record_event("replica-ended", json!({"replica": one.name, "status": status.to_string()}));
         (!told).then(|| format!("{} ended by itself ({status})", one.name))
     }
 }
--- a/rig/src/servers.rs
+++ b/rig/src/servers.rs
@@ -28,7 +28,7 @@
 use tokio::task::JoinSet;
 
 use crate::listener::Door;
-use crate::shared::{Known, Shared, lock};
+use crate::shared::{RequestInfo, Shared, lock};
 
 /// The protocol's bound of a body.
 const MAX_BODY: usize = 64 * 1024;
@@ -57,49 +57,49 @@
     /// Its number among all processes.
     pub instance: u32,
     place: usize,
-    at: SocketAddr,
+    address: SocketAddr,
     shared: Arc<Shared>,
     inside: Mutex<Inside>,
     machine: watch::Sender<Machine>,
     wake: Notify,
     next_job: AtomicU64,
     /// When its process started, if that was after the run began.
-    began: Mutex<Option<Nanos>>,
+    started_at: Mutex<Option<Nanos>>,
     /// Whether it is to drain.
-    leaves: AtomicBool,
+    draining: AtomicBool,
 }
 
 /// Whether a process is there from the start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum First {
+pub enum InitialState {
     /// Up and warm.
     Up,
     /// It starts later.
-    Later,
+    Down,
 }
 
 impl AppServer {
     /// Opens a server's port and starts its tasks; they end with the runtime.
-    pub fn open(shared: Arc<Shared>, instance: u32, first: First) -> std::io::Result<Arc<Self>> {
+    pub fn spawn(shared: Arc<Shared>, instance: u32, first: InitialState) -> std::io::Result<Arc<Self>> {
         let place = shared.timeline().instances[instance as usize].server;
-        let door = if first == First::Up { Door::open()? } else { Door::shut_from_the_start()? };
+        let door = if first == InitialState::Up { Door::open()? } else { Door::shut_from_the_start()? };
         let mut server = Server::new(shared.world.servers[place].spec, shared.clock.now());
-        if first == First::Later {
+        if first == InitialState::Down {
             server.stop(shared.clock.now());
         }
         let luck = rng_stream(shared.world.seed, 50_000 + u64::from(instance));
-        let machine = if first == First::Up { Machine::Up } else { Machine::Down };
+        let machine = if first == InitialState::Up { Machine::Up } else { Machine::Down };
         let own = Arc::new(Self {
             instance,
             place,
-            at: door.at(),
+            address: door.at(),
             shared,
             inside: Mutex::new(Inside { server, waiting: HashMap::new(), luck }),
             machine: watch::Sender::new(machine),
             wake: Notify::new(),
             next_job: AtomicU64::new(0),
-            began: Mutex::default(),
-            leaves: AtomicBool::new(false),
+            started_at: Mutex::default(),
+            draining: AtomicBool::new(false),
         });
         tokio::spawn(own.clone().take_connections(door, machine));
         tokio::spawn(own.clone().keep_time());
@@ -107,8 +107,8 @@
     }
 
     /// Where it listens.
-    pub fn at(&self) -> SocketAddr {
-        self.at
+    pub fn address(&self) -> SocketAddr {
+        self.address
     }
 
     /// Its name on the list.
@@ -128,13 +128,13 @@
     pub fn start(&self) {
         let held = lock(&self.inside).server.start(self.shared.clock.now(), true);
         self.lost(&held);
-        *lock(&self.began) = Some(self.shared.clock.now());
+        *lock(&self.started_at) = Some(self.shared.clock.now());
         self.machine.send_replace(Machine::Up);
     }
 
     /// What a process held is forgotten with it, and may run again elsewhere in its group.
     fn lost(&self, held: &[Job]) {
-        let keys = &mut lock(&self.shared.book).keys;
+        let keys = &mut lock(&self.shared.tracker).dedup;
         held.iter().for_each(|job| keys.job_ended((self.instance, job.id), false));
     }
 
@@ -153,22 +153,22 @@
 
     /// It is told to drain; what it has to do about that is its own part towards the registry.
     pub fn drain(&self) {
-        self.leaves.store(true, Ordering::Relaxed);
+        self.draining.store(true, Ordering::Relaxed);
     }
 
     /// Whether it was told to drain.
-    pub fn leaves(&self) -> bool {
-        self.leaves.load(Ordering::Relaxed)
+    pub fn is_draining(&self) -> bool {
+        self.draining.load(Ordering::Relaxed)
     }
 
     /// Whether its process runs and its machine speaks.
-    pub fn speaks(&self) -> bool {
+    pub fn is_reachable(&self) -> bool {
         self.is_up() && *self.machine.borrow() == Machine::Up
     }
 
     /// When its process started, if that was after the run began.
-    pub fn began(&self) -> Option<Nanos> {
-        *lock(&self.began)
+    pub fn started_at(&self) -> Option<Nanos> {
+        *lock(&self.started_at)
     }
 
     /// Whether its process runs.
@@ -177,12 +177,12 @@
     }
 
     /// Whether crowding has turned it slow.
-    pub fn is_choked(&self) -> bool {
+    pub fn is_congested(&self) -> bool {
         lock(&self.inside).server.is_congested()
     }
 
     /// Begins or ends a fault.
-    pub fn ail(&self, ailment: ServerFault) {
+    pub fn set_fault(&self, ailment: ServerFault) {
         lock(&self.inside).server.set_fault(self.shared.clock.now(), ailment);
         self.wake.notify_one();
     }
@@ -206,7 +206,7 @@
                     // A port lost to another program on this machine is no fault of the node's.
                     if let Err(error) = done {
                         let (server, cause) = (self.uid(), error.to_string());
-                        self.shared.event("rig-trouble", json!({"server": server, "cause": cause}));
+                        self.shared.record_event("rig-trouble", json!({"server": server, "cause": cause}));
                     }
                     // What a vanished machine had open stays open and silent until it is back.
                     if next == Machine::Down || machine == Machine::Silent {
@@ -264,10 +264,15 @@
             return plain(StatusCode::NOT_FOUND, "no id");
         };
         let id = id.to_str().ok().and_then(|text| u64::from_str_radix(text, 16).ok());
-        let Some((id, known)) = id.and_then(|id| Some((id, *lock(&self.shared.book).known.get(&id)?))) else {
-            lock(&self.shared.book).ledger.record_check(Rule::KnownOnly);
+        let Some((id, known)) = id.and_then(|id| Some((id, *lock(&self.shared.tracker).requests.get(&id)?)))
+        else {
+            lock(&self.shared.tracker).invariants.record_check(Rule::KnownOnly);
             let what = format!("{} got an id that nobody sent", self.uid());
-            self.shared.breach(Rule::KnownOnly, format!("{:?}", head.headers.get("x-call-id")), what);
+            self.shared.record_violation(
+                Rule::KnownOnly,
+                format!("{:?}", head.headers.get("x-call-id")),
+                what,
+            );
             return plain(StatusCode::BAD_REQUEST, "unknown id");
         };
         if Limited::new(body, MAX_BODY).collect().await.is_err() {
@@ -285,13 +290,14 @@
         }
     }
 
-    async fn serve(&self, id: u64, known: Known, fresh: bool) -> (Response<Full<Bytes>>, Nanos) {
+    async fn serve(&self, id: u64, known: RequestInfo, fresh: bool) -> (Response<Full<Bytes>>, Nanos) {
         let shared = &self.shared;
         let spec = shared.world.servers[self.place].spec;
         let way = shared.world.one_way_delay(shared.world.nodes[known.node].zone, spec.zone);
         let now = shared.clock.now();
-        let drains = lock(&shared.drains[known.node]).get(&self.instance).copied();
-        let booked = lock(&shared.book).ledger.attempt_arrived(id, self.instance, spec.cell, drains, now);
+        let drains = lock(&shared.notified_drains[known.node]).get(&self.instance).copied();
+        let booked =
+            lock(&shared.tracker).invariants.attempt_arrived(id, self.instance, spec.cell, drains, now);
         let job = self.next_job.fetch_add(1, Ordering::Relaxed);
         let mut out = Out { of: self, id, booked, job, ran: true };
         self.travel(if fresh { 4 * way } else { way }).await;
@@ -301,16 +307,16 @@
             let mut inside = lock(&self.inside);
             let (fell, cold) = (inside.server.has_crashed(), inside.server.capacity_share(now) < 1.0);
             let luck = inside.luck.random();
-            let Known { work, wait, not_after, key, .. } = known;
+            let RequestInfo { work, io_wait: wait, not_after, dedup_key: key, .. } = known;
             let key = key.map(|(key, window)| (DedupKey { cell: spec.cell, key }, window));
             // The rig does not know when the fleet's own registry told a node: it counts as told.
             let told_start = match shared.world.replicas {
-                0 => lock(&shared.starts[known.node]).get(&self.instance).copied(),
+                0 => lock(&shared.notified_starts[known.node]).get(&self.instance).copied(),
                 _ => inside.server.started_at(),
             };
-            let mut book = lock(&shared.book);
+            let mut book = lock(&shared.tracker);
             let repeat = inside.server.would_respond(luck)
-                && key.is_some_and(|(key, _)| book.keys.is_duplicate(key, now));
+                && key.is_some_and(|(key, _)| book.dedup.is_duplicate(key, now));
             let offer = if repeat {
                 Admission::Accepted
             } else {
@@ -330,7 +336,7 @@
                 // Its group has it already: it is answered, and not run again.
                 _ if repeat => drop(end.send(JobOutcome::Served)),
                 Some((key, window)) => {
-                    book.keys.insert(key, (self.instance, job), window, now);
+                    book.dedup.insert(key, (self.instance, job), window, now);
                     inside.waiting.insert(job, end);
                 }
                 None => drop(inside.waiting.insert(job, end)),
@@ -340,16 +346,16 @@
             let told = inside.server.overloaded_by_informed_senders();
             drop(inside);
             if cold {
-                lock(&shared.book).ledger.record_check(Rule::ColdSpared);
+                lock(&shared.tracker).invariants.record_check(Rule::ColdSpared);
             }
             if pushed_over {
-                lock(&shared.book).ledger.server_crashed(&self.uid(), told, shared.clock.now());
+                lock(&shared.tracker).invariants.server_crashed(&self.uid(), told, shared.clock.now());
                 self.machine.send_replace(Machine::Down);
             }
             (offer, repeat)
         };
         if repeat {
-            lock(&shared.tally).duplicates_dropped += 1;
+            lock(&shared.stats).duplicates_dropped += 1;
         }
         self.wake.notify_one();
         let end = match offer {
@@ -400,9 +406,9 @@
             }
             let mut inside = lock(&self.inside);
             inside.server.advance(self.shared.clock.now(), &mut ended);
-            let mut book = lock(&self.shared.book);
+            let mut book = lock(&self.shared.tracker);
             for (job, end) in ended.drain(..) {
-                book.keys.job_ended((self.instance, job.id), end == JobOutcome::Served);
+                book.dedup.job_ended((self.instance, job.id), end == JobOutcome::Served);
                 if let Some(waiting) = inside.waiting.remove(&job.id) {
                     // Whoever waited may have gone in this very moment.
                     let _ = waiting.send(end);
@@ -434,12 +440,17 @@
             // Still waited for: the connection ended first.
             let dropped = inside.waiting.remove(&self.job).is_some() && inside.server.cancel(now, self.job);
             if dropped {
-                lock(&self.of.shared.book).keys.job_ended((self.of.instance, self.job), false);
+                lock(&self.of.shared.tracker).dedup.job_ended((self.of.instance, self.job), false);
             }
             dropped
         };
         if let Some(booked) = self.booked {
-            lock(&self.of.shared.book).ledger.attempt_ended(self.id, booked, self.ran && !dropped, now);
+            lock(&self.of.shared.tracker).invariants.attempt_ended(
+                self.id,
+                booked,
+                self.ran && !dropped,
+                now,
+            );
         }
     }
 }
--- a/rig/src/shared.rs
+++ b/rig/src/shared.rs
@@ -24,27 +24,27 @@
 
 /// A request as the servers have to know it.
 #[derive(Clone, Copy, Debug)]
-pub struct Known {
+pub struct RequestInfo {
     /// The node that it was sent to.
     pub node: usize,
     /// Work on a standard core, in nanoseconds.
     pub work: f64,
     /// Waits on others.
-    pub wait: Nanos,
+    pub io_wait: Nanos,
     /// When its client gives up.
     pub not_after: Nanos,
     /// Of a keyed one, its key and for how long its repeats are dropped.
-    pub key: Option<(u64, Nanos)>,
+    pub dedup_key: Option<(u64, Nanos)>,
 }
 
 /// The rules' book, with what the servers have to know of each request.
-pub struct Book {
+pub struct RequestTracker {
     /// The book.
-    pub ledger: InvariantChecker,
+    pub invariants: InvariantChecker,
     /// The requests of late, by id.
-    pub known: HashMap<u64, Known>,
+    pub requests: HashMap<u64, RequestInfo>,
     /// What the groups of servers have seen.
-    pub keys: DedupTable,
+    pub dedup: DedupTable,
 }
 
 /// What the parties share.
@@ -55,17 +55,17 @@
     /// The clock.
     pub clock: Clock,
     /// The book.
-    pub book: Mutex<Book>,
+    pub tracker: Mutex<RequestTracker>,
     /// What the requests come to.
-    pub tally: Mutex<RunStats>,
+    pub stats: Mutex<RunStats>,
     /// How late the rig itself was, in microseconds.
     pub lateness: Mutex<Histogram<u64>>,
     /// When each node was told that a process drains or is gone, by its number.
-    pub drains: Vec<Mutex<HashMap<u32, Nanos>>>,
+    pub notified_drains: Vec<Mutex<HashMap<u32, Nanos>>>,
     /// The last start of each process that each node was told of, in the same way.
-    pub starts: Vec<Mutex<HashMap<u32, Nanos>>>,
+    pub notified_starts: Vec<Mutex<HashMap<u32, Nanos>>>,
     /// Whether the load has begun.
-    pub begun: watch::Sender<bool>,
+    pub load_started: watch::Sender<bool>,
     events: Mutex<Vec<Value>>,
 }
 
@@ -79,12 +79,16 @@
         Self {
             world,
             clock,
-            book: Mutex::new(Book { ledger, known: HashMap::new(), keys: DedupTable::default() }),
-            tally: Mutex::new(tally),
+            tracker: Mutex::new(RequestTracker {
+                invariants: ledger,
+                requests: HashMap::new(),
+                dedup: DedupTable::default(),
+            }),
+            stats: Mutex::new(tally),
             lateness: Mutex::new(lateness),
-            drains,
-            starts,
-            begun: watch::Sender::new(false),
+            notified_drains: drains,
+            notified_starts: starts,
+            load_started: watch::Sender::new(false),
             events: Mutex::default(),
             timeline: RwLock::new(Arc::new(timeline)),
         }
@@ -96,23 +100,23 @@
     }
 
     /// The load starts then: faults and the list's changes count from it.
-    pub fn begin(&self, start: Nanos, ledger: InvariantChecker) {
+    pub fn start_load(&self, start: Nanos, ledger: InvariantChecker) {
         let timeline = Timeline::new(&self.world, start);
         *self.timeline.write().unwrap_or_else(PoisonError::into_inner) = Arc::new(timeline);
-        *lock(&self.tally) = RunStats::new(&self.world, start);
-        lock(&self.book).ledger = ledger;
-        self.begun.send_replace(true);
+        *lock(&self.stats) = RunStats::new(&self.world, start);
+        lock(&self.tracker).invariants = ledger;
+        self.load_started.send_replace(true);
     }
 
     /// Milliseconds since the start of the load; negative before.
-    pub fn at_ms(&self, at: Nanos) -> f64 {
+    pub fn run_time_ms(&self, at: Nanos) -> f64 {
         (at as f64 - self.timeline().start as f64) / 1e6
     }
 
     /// Notes what has happened, now.
-    pub fn event(&self, kind: &str, mut fields: Value) {
+    pub fn record_event(&self, kind: &str, mut fields: Value) {
         // Before the load begins there is nothing to count from.
-        let at = if *self.begun.borrow() { self.at_ms(self.clock.now()) } else { 0.0 };
+        let at = if *self.load_started.borrow() { self.run_time_ms(self.clock.now()) } else { 0.0 };
         fields["at_ms"] = json!((at * 10.0).round() / 10.0);
         fields["kind"] = json!(kind);
         tracing::debug!(kind, fields = %fields, "event");
@@ -128,8 +132,8 @@
     }
 
     /// Notes a broken rule, and an event with it.
-    pub fn breach(&self, rule: Rule, id: String, what: String) {
-        self.event("breach", json!({"rule": rule.name(), "id": id, "what": what}));
-        lock(&self.book).ledger.record_violation(rule, id, self.clock.now(), what);
+    pub fn record_violation(&self, rule: Rule, id: String, what: String) {
+        self.record_event("breach", json!({"rule": rule.name(), "id": id, "what": what}));
+        lock(&self.tracker).invariants.record_violation(rule, id, self.clock.now(), what);
     }
 }
--- a/rig/src/sockets.rs
+++ b/rig/src/sockets.rs
@@ -24,15 +24,15 @@
 use tokio::task::JoinSet;
 use tokio::time::{interval, sleep};
 
-use crate::agents::{Agent, Endpoints};
-use crate::callers::{ANSWER_SLACK, Callers};
+use crate::discovery::{Agent, Endpoints};
 use crate::experiment::Experiment;
+use crate::fleet_file::FleetFile;
 use crate::keeper::Keeper;
+use crate::load_generator::{ANSWER_SLACK, Callers};
 use crate::nodes::{NodeError, NodeProcess, Program};
-use crate::orders::FleetFile;
 use crate::registry::Registry;
-use crate::relay::{End, Link, MOST_LINKS};
-use crate::servers::{AppServer, First};
+use crate::relay::{MAX_LINKS, Relay, ZonedEnd};
+use crate::servers::{AppServer, InitialState};
 use crate::shared::{Shared, lock};
 
 /// Nodes that are started at a time.
@@ -48,38 +48,38 @@
 const HUNDREDTH_MS: f64 = 10.0;
 
 /// What to play, with which programs.
-pub struct Stage {
+pub struct RunOptions {
     /// The experiment.
     pub experiment: Experiment,
     /// Its seed.
     pub seed: u64,
     /// The node's program.
-    pub binary: PathBuf,
+    pub node_binary: PathBuf,
     /// The program that runs replicas of the registry.
-    pub own: PathBuf,
+    pub registry_binary: PathBuf,
     /// A folder that exists, for the logs and configurations.
     pub folder: PathBuf,
     /// This program, asked to run the keeper.
     pub keeper: Option<Command>,
     /// Whether the folder goes with the run.
-    pub folder_goes: bool,
+    pub remove_folder: bool,
     /// Whether it plays until it is told to stop.
-    pub endless: bool,
+    pub until_stopped: bool,
 }
 
 /// How a run goes, once a second.
 #[derive(Clone, Debug, Default)]
 pub struct Progress {
     /// Seconds since the start of the load.
-    pub at_s: f64,
+    pub elapsed_s: f64,
     /// Requests that ended since the last look.
-    pub lately: OutcomeCounts,
+    pub interval: OutcomeCounts,
     /// All so far.
     pub total: OutcomeCounts,
     /// Median delay of what was served, in milliseconds.
-    pub p50_ms: f64,
+    pub latency_p50_ms: f64,
     /// Its 99th percentile.
-    pub p99_ms: f64,
+    pub latency_p99_ms: f64,
     /// Servers that are up, and how many there are.
     pub servers: (usize, usize),
     /// Nodes that run, and how many there are.
@@ -87,25 +87,25 @@
     /// The rig's own lateness at the 99th percentile, in milliseconds.
     pub lateness_ms: f64,
     /// Broken rules so far.
-    pub broken: u64,
+    pub violations: u64,
 }
 
 /// What a run on sockets left.
-pub struct Ran {
+pub struct SocketRunResult {
     /// Everything that the parties shared.
     pub shared: Arc<Shared>,
     /// Requests that the rig could not make for want of room.
-    pub turned_away: u64,
+    pub requests_dropped: u64,
     /// Improper peers, and those of them that were left waiting.
-    pub rude: (u64, u64),
+    pub improper_peers: (u64, u64),
     /// Most memory of a node's process, in kibibytes, and most descriptors.
-    pub most: (u64, u64),
+    pub peak_usage: (u64, u64),
     /// Processor time of all nodes, in milliseconds.
-    pub cpu_ms: f64,
+    pub node_cpu_ms: f64,
     /// For how long requests came, in seconds.
-    pub load_s: f64,
+    pub load_duration_s: f64,
     /// What the fleet's own registry came to.
-    pub registry: BTreeMap<String, f64>,
+    pub registry_measures: BTreeMap<String, f64>,
 }
 
 /// Why a run came to nothing.
@@ -115,10 +115,10 @@
     #[error(transparent)]
     Node(#[from] NodeError),
     /// The machine did not give what the run needs.
-    #[error("{what}: {source}")]
-    Machine {
+    #[error("{resource}: {source}")]
+    Setup {
         /// What was wanted.
-        what: &'static str,
+        resource: &'static str,
         /// Why it was not given.
         source: std::io::Error,
     },
@@ -126,8 +126,8 @@
     #[error("the registry: {0}")]
     Registry(String),
     /// More links than a run may have.
-    #[error("the faults concern {0} links, and {MOST_LINKS} is the most: name fewer parties")]
-    Links(usize),
+    #[error("the faults concern {0} links, and {MAX_LINKS} is the most: name fewer parties")]
+    TooManyLinks(usize),
 }
 
 struct Run {
@@ -149,11 +149,11 @@
 
 /// Plays an experiment. `stop` ends the load early; `progress` is called once a second.
 pub async fn play(
-    stage: Stage,
+    stage: RunOptions,
     stop: watch::Receiver<bool>,
     progress: impl Fn(&Progress) + Send + 'static,
-) -> Result<Ran, RunError> {
-    let machine = |what| move |source| RunError::Machine { what, source };
+) -> Result<SocketRunResult, RunError> {
+    let setup_error = |resource| move |source| RunError::Setup { resource, source };
     let experiment = &stage.experiment;
     let plan = experiment.plan();
     let world = World::sample(&plan, stage.seed);
@@ -170,15 +170,15 @@
     let shared = Arc::new(Shared::new(world, timeline, clock, InvariantChecker::new(limits, far)));
     let mut servers = Vec::new();
     for (number, instance) in shared.timeline().instances.iter().enumerate() {
-        let first = if instance.starts_at == 0 { First::Up } else { First::Later };
-        let server = AppServer::open(shared.clone(), number as u32, first);
-        servers.push(server.map_err(machine("an app server's port"))?);
+        let first = if instance.starts_at == 0 { InitialState::Up } else { InitialState::Down };
+        let server = AppServer::spawn(shared.clone(), number as u32, first);
+        servers.push(server.map_err(setup_error("an app server's port"))?);
     }
-    let direct: Endpoints = servers.iter().map(|server| server.at()).collect();
+    let direct: Endpoints = servers.iter().map(|server| server.address()).collect();
     let faulted = each_link(&shared);
     let touched = touched_links(&shared, &faulted);
-    if touched.len() > MOST_LINKS {
-        return Err(RunError::Links(touched.len()));
+    if touched.len() > MAX_LINKS {
+        return Err(RunError::TooManyLinks(touched.len()));
     }
     let (mut agents, mut discovery) = (Vec::new(), Vec::new());
     for node in 0..shared.world.nodes.len() {
@@ -187,14 +187,14 @@
             let place = shared.timeline().instances[instance];
             let from = (LinkEnd::Node(node), shared.world.nodes[node].zone);
             let to = (LinkEnd::Server(place.server), place.zone);
-            let link = Link::open(shared.clone(), from, to, direct[instance]);
-            endpoints[instance] = link.map_err(machine("a link's port"))?;
+            let link = Relay::start(shared.clone(), from, to, direct[instance]);
+            endpoints[instance] = link.map_err(setup_error("a link's port"))?;
         }
-        let agent = Agent::open(shared.clone(), node, endpoints).map_err(machine("an agent's port"))?;
+        let agent = Agent::open(shared.clone(), node, endpoints).map_err(setup_error("an agent's port"))?;
         let own = (LinkEnd::Node(node), shared.world.nodes[node].zone);
         let direct = agent.at();
         let found = if faulted.iter().any(|one| one.concerns(own, DISCOVERY_END)) {
-            Link::open(shared.clone(), own, DISCOVERY_END, direct).map_err(machine("a link's port"))?
+            Relay::start(shared.clone(), own, DISCOVERY_END, direct).map_err(setup_error("a link's port"))?
         } else {
             direct
         };
@@ -202,18 +202,18 @@
         agents.push(agent);
     }
     let keeper = match stage.keeper {
-        Some(command) => Some(Keeper::start(command).map_err(machine("the keeper's process"))?),
+        Some(command) => Some(Keeper::start(command).map_err(setup_error("the keeper's process"))?),
         None => None,
     };
-    if let Some(keeper) = keeper.as_ref().filter(|_| stage.folder_goes) {
+    if let Some(keeper) = keeper.as_ref().filter(|_| stage.remove_folder) {
         keeper.made(&stage.folder);
     }
     let (logs, configs) = (stage.folder.join("logs"), stage.folder.join("configs"));
     for folder in [&logs, &configs] {
-        std::fs::create_dir_all(folder).map_err(machine("a folder for logs"))?;
+        std::fs::create_dir_all(folder).map_err(setup_error("a folder for logs"))?;
     }
     let program = Arc::new(Program {
-        binary: stage.binary,
+        binary: stage.node_binary,
         logs,
         configs: configs.clone(),
         filter: experiment.log().to_owned(),
@@ -231,9 +231,16 @@
     };
     let registry = if plan.registry.replicas > 0 {
         let (plan, program, folder) = (&plan.registry, program.clone(), &stage.folder);
-        let prepared =
-            Registry::prepare(plan, stage.own, program, shared.clone(), folder, &servers, concerns);
-        Some(prepared.map_err(machine("the registry's files and ports"))?)
+        let prepared = Registry::prepare(
+            plan,
+            stage.registry_binary,
+            program,
+            shared.clone(),
+            folder,
+            &servers,
+            concerns,
+        );
+        Some(prepared.map_err(setup_error("the registry's files and ports"))?)
     } else {
         None
     };
@@ -241,11 +248,10 @@
     let mut nodes: Vec<Arc<NodeProcess>> = Vec::new();
     for number in 0..shared.world.nodes.len() {
         let replicas = registry.as_ref().map(|registry| registry.addresses(number, concerns));
-        let replicas = replicas.transpose().map_err(machine("a link's port"))?;
+        let replicas = replicas.transpose().map_err(setup_error("a link's port"))?;
         let fleet = if registry.is_some() || ordered {
-            let write =
-                FleetFile::write_first(shared.clone(), number, replicas.unwrap_or_default(), &configs);
-            Some(write.map_err(machine("a fleet file"))?)
+            let write = FleetFile::create(shared.clone(), number, replicas.unwrap_or_default(), &configs);
+            Some(write.map_err(setup_error("a fleet file"))?)
         } else {
             None
         };
@@ -278,14 +284,14 @@
         return Err(error.into());
     }
     let start = clock.now() + LEAD;
-    shared.begin(start, InvariantChecker::new(limits, start));
+    shared.start_load(start, InvariantChecker::new(limits, start));
     run.callers.begin(start);
-    let span = if stage.endless { Nanos::MAX / 4 } else { seconds(experiment.run.seconds) };
+    let span = if stage.until_stopped { Nanos::MAX / 4 } else { seconds(experiment.run.seconds) };
     if let Some(registry) = &run.registry {
         registry.begin(start, span).await;
     }
     run.clone().carry(start.saturating_add(span), stop, progress).await;
-    let load_s = shared.at_ms(clock.now()) / 1000.0;
+    let load_s = shared.run_time_ms(clock.now()) / 1000.0;
     let registry = match &run.registry {
         Some(registry) => registry.settle().await,
         None => BTreeMap::new(),
@@ -295,13 +301,13 @@
     let _ = std::fs::remove_dir_all(&configs);
     let ticks: u64 = run.cpu.iter().map(|cpu| cpu.load(Ordering::Relaxed)).sum();
     let [asked, left] = &run.callers.rude;
-    Ok(Ran {
-        turned_away: run.callers.turned_away.load(Ordering::Relaxed),
-        rude: (asked.load(Ordering::Relaxed), left.load(Ordering::Relaxed)),
-        most: (run.most_memory.load(Ordering::Relaxed), run.most_descriptors.load(Ordering::Relaxed)),
-        cpu_ms: ticks as f64 * HUNDREDTH_MS,
-        load_s,
-        registry,
+    Ok(SocketRunResult {
+        requests_dropped: run.callers.turned_away.load(Ordering::Relaxed),
+        improper_peers: (asked.load(Ordering::Relaxed), left.load(Ordering::Relaxed)),
+        peak_usage: (run.most_memory.load(Ordering::Relaxed), run.most_descriptors.load(Ordering::Relaxed)),
+        node_cpu_ms: ticks as f64 * HUNDREDTH_MS,
+        load_duration_s: load_s,
+        registry_measures: registry,
         shared,
     })
 }
@@ -313,7 +319,7 @@
 }
 
 impl OneLink {
-    fn concerns(&self, one: End, other: End) -> bool {
+    fn concerns(&self, one: ZonedEnd, other: ZonedEnd) -> bool {
         self.alone
             .link_fault(self.at, one, other)
             .or_else(|| self.alone.link_fault(self.at, other, one))
@@ -371,8 +377,8 @@
 
     async fn start_node(&self, node: usize) -> Result<(), NodeError> {
         let agent = &self.agents[node];
-        lock(&self.shared.drains[node]).clear();
-        lock(&self.shared.starts[node]).clear();
+        lock(&self.shared.notified_drains[node]).clear();
+        lock(&self.shared.notified_starts[node]).clear();
         let known = if self.registry.is_some() { json!(null) } else { agent.list() };
         // An agent that has moved is found at its new address, without the link that stood before the old one.
         let at = if agent.has_moved() { agent.at() } else { self.discovery[node] };
@@ -393,10 +399,10 @@
                 // A paused process can't end.
                 node.pause(false);
                 if node.pid().is_some() {
-                    lock(&run.shared.book).ledger.record_check(Rule::ProcessesEnded);
+                    lock(&run.shared.tracker).invariants.record_check(Rule::ProcessesEnded);
                     if !node.stop().await {
                         let what = "did not end after SIGTERM, and was killed".to_owned();
-                        run.shared.breach(Rule::ProcessesEnded, node.name.clone(), what);
+                        run.shared.record_violation(Rule::ProcessesEnded, node.name.clone(), what);
                     }
                 }
             });
@@ -408,7 +414,7 @@
         let left: Vec<u32> = self.nodes.iter().filter_map(|node| node.pid()).collect();
         for pid in left {
             let what = "still there after the run".to_owned();
-            self.shared.breach(Rule::ProcessesEnded, pid.to_string(), what);
+            self.shared.record_violation(Rule::ProcessesEnded, pid.to_string(), what);
         }
     }
 
@@ -453,21 +459,21 @@
     fn look_at(&self, node: &NodeProcess) {
         if let Some(how) = node.reap() {
             self.callers.places[node.number].open.store(false, Ordering::Relaxed);
-            self.shared.breach(Rule::ProcessesEnded, node.name.clone(), how);
+            self.shared.record_violation(Rule::ProcessesEnded, node.name.clone(), how);
             return;
         }
         let Some(holds) = node.holds() else { return };
         self.most_memory.fetch_max(holds.memory_kib, Ordering::Relaxed);
         self.most_descriptors.fetch_max(holds.descriptors, Ordering::Relaxed);
         self.cpu[node.number].fetch_max(holds.cpu_ticks, Ordering::Relaxed);
-        lock(&self.shared.book).ledger.record_check(Rule::ProcessBounds);
+        lock(&self.shared.tracker).invariants.record_check(Rule::ProcessBounds);
         let (memory, descriptors) = self.bounds;
         if holds.memory_kib > memory || holds.descriptors > descriptors {
             let what = format!(
                 "holds {} KiB and {} descriptors, of {memory} and {descriptors}",
                 holds.memory_kib, holds.descriptors
             );
-            self.shared.breach(Rule::ProcessBounds, node.name.clone(), what);
+            self.shared.record_violation(Rule::ProcessBounds, node.name.clone(), what);
         }
     }
 
@@ -480,7 +486,7 @@
         loop {
             every.tick().await;
             let (total, p50, p99) = {
-                let tally = lock(&shared.tally);
+                let tally = lock(&shared.stats);
                 let at = |share| tally.served_latency.value_at_quantile(share) as f64 / 1000.0;
                 (tally.total(), at(0.5), at(0.99))
             };
@@ -495,19 +501,19 @@
             };
             before = total;
             let up = self.servers.iter().filter(|server| server.is_up()).count();
-            let broken = lock(&shared.book).ledger.reports().iter().map(|rule| rule.violated).sum();
+            let broken = lock(&shared.tracker).invariants.reports().iter().map(|rule| rule.violated).sum();
             let now = Progress {
-                at_s: shared.at_ms(shared.clock.now()) / 1000.0,
-                lately,
+                elapsed_s: shared.run_time_ms(shared.clock.now()) / 1000.0,
+                interval: lately,
                 total,
-                p50_ms: p50,
-                p99_ms: p99,
+                latency_p50_ms: p50,
+                latency_p99_ms: p99,
                 servers: (up, shared.world.servers.len()),
                 nodes: (self.nodes.iter().filter(|node| node.pid().is_some()).count(), self.nodes.len()),
                 lateness_ms: lock(&shared.lateness).value_at_quantile(0.99) as f64 / 1000.0,
-                broken,
+                violations: broken,
             };
-            shared.event(
+            shared.record_event(
                 "second",
                 json!({"asked": lately.requests, "in_time": lately.in_time, "late": lately.late,
                     "refused": lately.rejected, "failed": lately.failed, "servers_up": up,
@@ -544,12 +550,12 @@
                 } else {
                     server.kill()
                 }
-                self.shared.event("server", json!({"server": server.uid(), "up": begins}));
+                self.shared.record_event("server", json!({"server": server.uid(), "up": begins}));
                 continue;
             }
             let act = timeline.faults[number].action.clone();
             let kind = if begins { "fault-begins" } else { "fault-ends" };
-            self.shared.event(kind, json!({"fault": format!("{act:?}")}));
+            self.shared.record_event(kind, json!({"fault": format!("{act:?}")}));
             acting.spawn(async move { run.act(act, begins).await });
         }
         while acting.join_next().await.is_some() {}
@@ -572,8 +578,10 @@
                 place.paused.store(begins, Ordering::Relaxed);
                 // What came while it was paused is answered late, and that is the pause's doing.
                 if !self.nodes[node].pause(begins) {
-                    self.shared
-                        .event("fault-missed", json!({"node": self.nodes[node].name, "why": "not there"}));
+                    self.shared.record_event(
+                        "fault-missed",
+                        json!({"node": self.nodes[node].name, "why": "not there"}),
+                    );
                 }
             }
             FaultAction::RestartNode(node) if begins => {
@@ -581,7 +589,11 @@
                 let stopping = async {
                     if !self.nodes[node].stop().await {
                         let what = "did not end after SIGTERM, and was killed".to_owned();
-                        self.shared.breach(Rule::ProcessesEnded, self.nodes[node].name.clone(), what);
+                        self.shared.record_violation(
+                            Rule::ProcessesEnded,
+                            self.nodes[node].name.clone(),
+                            what,
+                        );
                     }
                 };
                 let closing = async {
@@ -622,8 +634,10 @@
             FaultAction::OrderZone(..) => {
                 for node in &self.nodes {
                     if let Err(error) = node.order() {
-                        self.shared
-                            .event("rig-trouble", json!({"node": node.name, "cause": error.to_string()}));
+                        self.shared.record_event(
+                            "rig-trouble",
+                            json!({"node": node.name, "cause": error.to_string()}),
+                        );
                     }
                 }
             }
@@ -638,7 +652,7 @@
                     let told =
                         moved.and_then(|()| node.reconfigure(agent.at()).map_err(|error| error.to_string()));
                     if let Err(cause) = told {
-                        self.shared.event("rig-trouble", json!({"node": node.name, "cause": cause}));
+                        self.shared.record_event("rig-trouble", json!({"node": node.name, "cause": cause}));
                     }
                 }
             }
@@ -672,7 +686,11 @@
 
     async fn start_again(&self, node: usize) {
         if let Err(error) = self.start_node(node).await {
-            self.shared.breach(Rule::ProcessesEnded, self.nodes[node].name.clone(), error.to_string());
+            self.shared.record_violation(
+                Rule::ProcessesEnded,
+                self.nodes[node].name.clone(),
+                error.to_string(),
+            );
         }
     }
 
@@ -688,7 +706,7 @@
             |server: &&Arc<AppServer>| timeline.instances[server.instance as usize].occupies(place, now);
         match self.servers.iter().find(here) {
             Some(server) => then(server),
-            None => self.shared.event("fault-missed", json!({"server": place, "why": "not there"})),
+            None => self.shared.record_event("fault-missed", json!({"server": place, "why": "not there"})),
         }
     }
 
@@ -698,7 +716,7 @@
             if begins {
                 change(&mut ailment);
             }
-            server.ail(ailment);
+            server.set_fault(ailment);
         });
     }
 }
--- a/rig/src/watchers.rs
+++ b/rig/src/watchers.rs
@@ -119,12 +119,12 @@
                 follower.on_failure(since(), None, (first % 10) as f64 / 10.0);
                 continue;
             };
-            let mut book = lock(&self.shared.book);
-            book.ledger.record_check(Rule::RegistryForward);
+            let mut book = lock(&self.shared.tracker);
+            book.invariants.record_check(Rule::RegistryForward);
             drop(book);
             if ask.seen.is_some_and(|rev| list.rev < rev) {
                 let what = format!("told version {} after {:?}", list.rev, ask.seen);
-                self.shared.breach(Rule::RegistryForward, format!("watcher of r{first}"), what);
+                self.shared.record_violation(Rule::RegistryForward, format!("watcher of r{first}"), what);
             }
             let head = ListHeader { incarnation: list.incarnation, rev: list.rev, full: list.all, age };
             let take = follower.on_response(asked, since(), head);
@@ -160,9 +160,13 @@
         }
         drop(seen);
         for uid in gone {
-            lock(&self.shared.book).ledger.record_check(Rule::RegistryBelieves);
+            lock(&self.shared.tracker).invariants.record_check(Rule::RegistryBelieves);
             if lock(&self.register.alive).contains(&uid) {
-                self.shared.breach(Rule::RegistryBelieves, uid, "told of as gone, and it renews".to_owned());
+                self.shared.record_violation(
+                    Rule::RegistryBelieves,
+                    uid,
+                    "told of as gone, and it renews".to_owned(),
+                );
             }
         }
     }
@@ -170,7 +174,7 @@
     /// Holds that what was acknowledged is on the committed list, and that every client has that list soon.
     pub async fn settle(&self) {
         let Some(committed) = self.committed().await else {
-            self.shared.breach(
+            self.shared.record_violation(
                 Rule::RegistrySame,
                 "registry".to_owned(),
                 "no replica tells its list".to_owned(),
@@ -178,9 +182,9 @@
             return;
         };
         for uid in lock(&self.register.acknowledged).iter() {
-            lock(&self.shared.book).ledger.record_check(Rule::RegistryKeeps);
+            lock(&self.shared.tracker).invariants.record_check(Rule::RegistryKeeps);
             if !committed.contains_key(uid) {
-                self.shared.breach(
+                self.shared.record_violation(
                     Rule::RegistryKeeps,
                     uid.clone(),
                     "acknowledged, and not on the list".to_owned(),
@@ -195,11 +199,11 @@
         };
         let settled = timeout(SETTLES, same).await.is_ok();
         for (number, seen) in seen.iter().enumerate() {
-            lock(&self.shared.book).ledger.record_check(Rule::RegistrySame);
+            lock(&self.shared.tracker).invariants.record_check(Rule::RegistrySame);
             let own = lock(seen).list.clone();
             if !settled && own != committed {
                 let what = format!("has {} instances, and {} are on the list", own.len(), committed.len());
-                self.shared.breach(Rule::RegistrySame, format!("watcher {number}"), what);
+                self.shared.record_violation(Rule::RegistrySame, format!("watcher {number}"), what);
             }
         }
     }
