--- a/rig/src/discovery.rs
+++ b/rig/src/discovery.rs
@@ -1,5 +1,5 @@
-//! The list service's agents, one beside each node, by the protocol page: the whole list, or a watch that waits for
-//! what is newer. What is told and when comes from the world's timeline.
+//! Emulated discovery agents, one per node, speaking the discovery protocol: a full list, or a watch that waits for newer
+//! changes. The timeline of the scenario determines the content and when it becomes visible.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -24,34 +24,34 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-use crate::listener::Door;
+use crate::listener::SwitchableListener;
 use crate::servers::uid;
 use crate::shared::{Shared, lock};
 
-/// The protocol's bound of a wait.
-const MOST_HOLD: Duration = Duration::from_secs(60);
-/// A service that has moved closes what stands open at its old address after this time.
-const OLD_CLOSES: Duration = Duration::from_millis(1500);
-/// The version of the list when a run begins.
-const FIRST_REV: u64 = 1;
+/// Maximum `hold_ms` of a watch in the protocol.
+const MAX_HOLD: Duration = Duration::from_secs(60);
+/// Delay after a move before the connections at the old address are closed.
+const OLD_ADDRESS_CLOSE_DELAY: Duration = Duration::from_millis(1500);
+/// Revision of the list at the start of a run.
+const INITIAL_REV: u64 = 1;
 
-/// Where each process is found, as one node is told; a link may stand between.
+/// Addresses of all server instances as one node sees them; some are those of relays.
 pub type Endpoints = Vec<SocketAddr>;
 
-/// One node's agent.
-pub struct Agent {
+/// The discovery agent of one node.
+pub struct DiscoveryAgent {
     node: usize,
     shared: Arc<Shared>,
     endpoints: Endpoints,
-    /// Where it listens now; a move changes it.
-    at: watch::Sender<SocketAddr>,
-    first_at: SocketAddr,
-    /// How many of the timeline's changes have been told to it.
-    known: watch::Sender<usize>,
-    luck: Mutex<ChaCha12Rng>,
+    /// Current listening address; [`Self::relocate`] changes it.
+    address: watch::Sender<SocketAddr>,
+    initial_address: SocketAddr,
+    /// Number of list changes of the timeline that are visible so far.
+    applied_changes: watch::Sender<usize>,
+    rng: Mutex<ChaCha12Rng>,
 }
 
-fn state_of(stage: Stage) -> &'static str {
+fn state_name(stage: Stage) -> &'static str {
     match stage {
         Stage::InService => "Ready",
         Stage::Draining => "Terminating",
@@ -60,17 +60,17 @@
 }
 
 fn target(world: &World, member: &Member, endpoints: &Endpoints) -> Value {
-    let place = member.backend.0 as usize;
-    json!({"uid": uid(member.backend.0), "endpoint": endpoints[place].to_string(),
+    let instance = member.backend.0 as usize;
+    json!({"uid": uid(member.backend.0), "endpoint": endpoints[instance].to_string(),
         "az": world.zones[member.zone.0 as usize], "model": world.kinds[member.kind as usize],
-        "pod_group": member.cell, "state": state_of(member.stage), "capacity_hint": member.weight,
+        "pod_group": member.cell, "state": state_name(member.stage), "capacity_hint": member.weight,
         "boot_ms": member.online_since.unwrap_or(0) / 1_000_000})
 }
 
-/// The list with so many of the changes in it; those that have gone are not on it.
-fn whole(timeline: &Timeline, known: usize) -> Vec<Member> {
+/// Members after the first `applied_changes` changes, without instances that are gone.
+fn members_at(timeline: &Timeline, applied_changes: usize) -> Vec<Member> {
     let mut members = timeline.initial_members.clone();
-    for ListChange { member, .. } in &timeline.changes[..known] {
+    for ListChange { member, .. } in &timeline.changes[..applied_changes] {
         match members.iter_mut().find(|other| other.backend == member.backend) {
             Some(other) => *other = *member,
             None => members.push(*member),
@@ -80,172 +80,180 @@
     members
 }
 
-impl Agent {
-    /// Opens a node's agent and starts its tasks; they end with the runtime.
-    pub fn open(shared: Arc<Shared>, node: usize, endpoints: Endpoints) -> std::io::Result<Arc<Self>> {
-        let door = Door::open()?;
-        let luck = Mutex::new(rng_stream(shared.world.seed, 40_000 + node as u64));
-        let (first_at, known) = (door.at(), watch::Sender::new(0));
-        let at = watch::Sender::new(first_at);
-        let own = Arc::new(Self { node, shared, endpoints, at, first_at, known, luck });
-        tokio::spawn(own.clone().take_connections(door));
-        tokio::spawn(own.clone().hear());
-        Ok(own)
+impl DiscoveryAgent {
+    /// Starts the agent of a node. Its tasks run until the runtime shuts down.
+    pub fn start(shared: Arc<Shared>, node: usize, endpoints: Endpoints) -> std::io::Result<Arc<Self>> {
+        let listener = SwitchableListener::bind()?;
+        let rng = Mutex::new(rng_stream(shared.world.seed, 40_000 + node as u64));
+        let (initial_address, applied_changes) = (listener.address(), watch::Sender::new(0));
+        let address = watch::Sender::new(initial_address);
+        let agent =
+            Arc::new(Self { node, shared, endpoints, address, initial_address, applied_changes, rng });
+        tokio::spawn(agent.clone().accept_connections(listener));
+        tokio::spawn(agent.clone().apply_changes());
+        Ok(agent)
     }
 
-    /// Where it listens.
-    pub fn at(&self) -> SocketAddr {
-        *self.at.borrow()
+    /// Current listening address.
+    pub fn address(&self) -> SocketAddr {
+        *self.address.borrow()
     }
 
-    /// Whether it has gone to another address since it was opened.
+    /// Whether the address has changed since the start.
     pub fn has_moved(&self) -> bool {
-        self.at() != self.first_at
+        self.address() != self.initial_address
     }
 
-    /// The list as it stands for a node that starts now.
+    /// The current full list.
     pub fn list(&self) -> Value {
-        let known = *self.known.borrow();
-        self.answer_whole(known)
+        let applied_changes = *self.applied_changes.borrow();
+        self.full_list(applied_changes)
     }
 
-    /// Goes to another address. The old one takes no new connections, and closes its open ones a little later.
+    /// Moves to a new address. The old one accepts no new connections and closes its open ones after a delay.
     pub fn relocate(self: &Arc<Self>) -> std::io::Result<()> {
-        let door = Door::open()?;
-        self.at.send_replace(door.at());
-        tokio::spawn(self.clone().take_connections(door));
+        let listener = SwitchableListener::bind()?;
+        self.address.send_replace(listener.address());
+        tokio::spawn(self.clone().accept_connections(listener));
         Ok(())
     }
 
-    /// Takes the timeline's changes as they come to be known, later while the service is late; never ends.
-    async fn hear(self: Arc<Self>) {
+    /// Applies list changes as they become visible, with the lag of the discovery service, until none is left.
+    async fn apply_changes(self: Arc<Self>) {
         let shared = self.shared.clone();
-        let spread = lock(&self.luck).random_range(0..250_000_000u64);
+        let jitter = lock(&self.rng).random_range(0..250_000_000u64);
         if shared.load_started.subscribe().wait_for(|begun| *begun).await.is_err() {
             return;
         }
         let timeline = shared.timeline();
         loop {
-            let known = *self.known.borrow();
-            let Some(change) = timeline.changes.get(known) else { return };
-            let (_, late) = timeline.discovery_state(change.at);
-            shared.clock.sleep_until(change.at + late + spread).await;
-            self.known.send_replace(known + 1);
+            let applied_changes = *self.applied_changes.borrow();
+            let Some(change) = timeline.changes.get(applied_changes) else { return };
+            let (_, lag) = timeline.discovery_state(change.at);
+            shared.clock.sleep_until(change.at + lag + jitter).await;
+            self.applied_changes.send_replace(applied_changes + 1);
         }
     }
 
-    async fn take_connections(self: Arc<Self>, door: Door) {
-        let own = door.at();
-        let mut moved = self.at.subscribe();
-        let mut open = JoinSet::new();
+    async fn accept_connections(self: Arc<Self>, listener: SwitchableListener) {
+        let own_address = listener.address();
+        let mut address_changes = self.address.subscribe();
+        let mut connections = JoinSet::new();
         loop {
             tokio::select! {
                 biased;
-                gone = async { moved.wait_for(|at| *at != own).await.is_ok() } => {
-                    if gone {
-                        drop(door);
-                        tokio::time::sleep(OLD_CLOSES).await;
+                moved_away = async { address_changes.wait_for(|address| *address != own_address).await.is_ok() } => {
+                    if moved_away {
+                        drop(listener);
+                        tokio::time::sleep(OLD_ADDRESS_CLOSE_DELAY).await;
                     }
                     return;
                 }
-                accepted = door.accept() => {
+                accepted = listener.accept() => {
                     let Ok(stream) = accepted else { continue };
-                    open.spawn(self.clone().converse(stream));
+                    connections.spawn(self.clone().serve_connection(stream));
                 }
-                Some(_) = open.join_next(), if !open.is_empty() => {}
+                Some(_) = connections.join_next(), if !connections.is_empty() => {}
             }
         }
     }
 
-    async fn converse(self: Arc<Self>, stream: TcpStream) {
+    async fn serve_connection(self: Arc<Self>, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        let service = service_fn(|request| self.answer(request));
-        // A node that hangs up calls again; nothing is lost with a connection.
+        let service = service_fn(|request| self.handle(request));
+        // Connection errors are ignored: the node reconnects and repeats its request.
         let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
-        let plain = |status: StatusCode, text: String| {
+    async fn handle(&self, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
+        let respond = |status: StatusCode, text: String| {
             let mut response = Response::new(Full::new(Bytes::from(text)));
             *response.status_mut() = status;
             Ok(response)
         };
         if request.uri().path() != INSTANCES_PATH {
-            return plain(StatusCode::NOT_FOUND, "no such path".to_owned());
+            return respond(StatusCode::NOT_FOUND, "no such path".to_owned());
         }
-        let trouble = self.trouble();
-        match trouble {
+        let active_fault = self.active_fault();
+        match active_fault {
             Some(FaultAction::SilentDiscovery) => std::future::pending().await,
             Some(FaultAction::RubbishDiscovery) => {
-                return plain(StatusCode::OK, "{\"rev\":\"soon\"".to_owned());
+                return respond(StatusCode::OK, "{\"rev\":\"soon\"".to_owned());
             }
-            Some(FaultAction::BusyDiscovery(share)) if lock(&self.luck).random::<f64>() < share => {
-                return plain(StatusCode::SERVICE_UNAVAILABLE, "too many calls".to_owned());
+            Some(FaultAction::BusyDiscovery(share)) if lock(&self.rng).random::<f64>() < share => {
+                return respond(StatusCode::SERVICE_UNAVAILABLE, "too many calls".to_owned());
             }
             _ => {}
         }
         let query = request.uri().query().unwrap_or_default();
-        let number = |name: &str| {
+        let parse_parameter = |name: &str| {
             let value = query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))?;
             Some(value.parse::<u64>())
         };
-        let list = match (number("from"), number("hold_ms")) {
-            (None, _) => self.answer_whole(*self.known.borrow()),
+        let list = match (parse_parameter("from"), parse_parameter("hold_ms")) {
+            (None, _) => self.full_list(*self.applied_changes.borrow()),
             (Some(Ok(from)), None | Some(Ok(_))) => {
-                let hold = number("hold_ms").and_then(Result::ok).unwrap_or(0);
-                self.changes_since(from, Duration::from_millis(hold).min(MOST_HOLD)).await
+                let hold = parse_parameter("hold_ms").and_then(Result::ok).unwrap_or(0);
+                self.watch_changes(from, Duration::from_millis(hold).min(MAX_HOLD)).await
             }
-            _ => return plain(StatusCode::BAD_REQUEST, "from and hold_ms are whole numbers".to_owned()),
+            _ => return respond(StatusCode::BAD_REQUEST, "from and hold_ms are whole numbers".to_owned()),
         };
-        plain(StatusCode::OK, list.to_string())
+        respond(StatusCode::OK, list.to_string())
     }
 
-    fn trouble(&self) -> Option<FaultAction> {
+    fn active_fault(&self) -> Option<FaultAction> {
         let now = self.shared.clock.now();
-        let is = |act: &FaultAction| {
+        let affects_responses = |action: &FaultAction| {
             matches!(
-                act,
+                action,
                 FaultAction::SilentDiscovery | FaultAction::RubbishDiscovery | FaultAction::BusyDiscovery(_)
             )
         };
         let timeline = self.shared.timeline();
-        timeline.faults.iter().filter(|step| step.is_active(now)).map(|step| step.action.clone()).find(is)
+        timeline
+            .faults
+            .iter()
+            .filter(|fault| fault.is_active(now))
+            .map(|fault| fault.action.clone())
+            .find(affects_responses)
     }
 
-    fn answer_whole(&self, known: usize) -> Value {
-        let members = whole(&self.shared.timeline(), known);
-        self.told(&members, self.shared.clock.now());
+    fn full_list(&self, applied_changes: usize) -> Value {
+        let members = members_at(&self.shared.timeline(), applied_changes);
+        self.record_notified(&members, self.shared.clock.now());
         let target = |member: &Member| target(&self.shared.world, member, &self.endpoints);
         let targets: Vec<Value> = members.iter().map(target).collect();
-        json!({"rev": FIRST_REV + known as u64, "all": true, "targets": targets})
+        json!({"rev": INITIAL_REV + applied_changes as u64, "all": true, "targets": targets})
     }
 
-    async fn changes_since(&self, from: u64, hold: Duration) -> Value {
-        let Some(from) = from.checked_sub(FIRST_REV).map(|from| from as usize) else {
-            return self.answer_whole(*self.known.borrow());
+    async fn watch_changes(&self, from: u64, hold: Duration) -> Value {
+        let Some(from) = from.checked_sub(INITIAL_REV).map(|from| from as usize) else {
+            return self.full_list(*self.applied_changes.borrow());
         };
-        let mut known = self.known.subscribe();
-        if from > *known.borrow() {
-            // A version that was never told.
-            return self.answer_whole(*self.known.borrow());
+        let mut applied_changes = self.applied_changes.subscribe();
+        if from > *applied_changes.borrow() {
+            // The client asks from a revision that does not exist yet.
+            return self.full_list(*self.applied_changes.borrow());
         }
-        let newer = known.wait_for(|known| *known > from);
-        let known = match tokio::time::timeout(hold, newer).await {
-            Ok(Ok(known)) => *known,
+        let newer_revision = applied_changes.wait_for(|applied_changes| *applied_changes > from);
+        let applied_changes = match tokio::time::timeout(hold, newer_revision).await {
+            Ok(Ok(applied_changes)) => *applied_changes,
             _ => from,
         };
-        let members: Vec<Member> =
-            self.shared.timeline().changes[from..known].iter().map(|change| change.member).collect();
-        self.told(&members, self.shared.clock.now());
+        let members: Vec<Member> = self.shared.timeline().changes[from..applied_changes]
+            .iter()
+            .map(|change| change.member)
+            .collect();
+        self.record_notified(&members, self.shared.clock.now());
         let target = |member: &Member| target(&self.shared.world, member, &self.endpoints);
         let targets: Vec<Value> = members.iter().map(target).collect();
-        json!({"rev": FIRST_REV + known as u64, "all": false, "targets": targets})
+        json!({"rev": INITIAL_REV + applied_changes as u64, "all": false, "targets": targets})
     }
 
-    /// Remembers from when on this node may send nothing new to whom, and whose start it knows.
-    fn told(&self, members: &[Member], now: Nanos) {
-        let starts = members.iter().filter_map(|member| Some((member.backend.0, member.online_since?)));
-        lock(&self.shared.notified_starts[self.node]).extend(starts);
+    /// Records when the node was notified of draining instances and which start times it has been sent.
+    fn record_notified(&self, members: &[Member], now: Nanos) {
+        let started = members.iter().filter_map(|member| Some((member.backend.0, member.online_since?)));
+        lock(&self.shared.notified_starts[self.node]).extend(started);
         let mut drains = lock(&self.shared.notified_drains[self.node]);
         for member in members {
             if member.stage == Stage::InService {
--- a/rig/src/fleet_file.rs
+++ b/rig/src/fleet_file.rs
@@ -1,4 +1,4 @@
-//! The nodes' fleet files: where the registry is, and what the operator orders of zones while a run goes on.
+//! Fleet files of the nodes: the addresses of the registry and the zone overrides in effect during a run.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 
 use crate::shared::Shared;
 
-/// One node's fleet file.
+/// The fleet file of one node.
 pub struct FleetFile {
     file: PathBuf,
     addresses: Vec<SocketAddr>,
@@ -18,7 +18,7 @@
 }
 
 impl FleetFile {
-    /// Writes a node's file as it is before the load; `addresses` are the registry's, if there is one.
+    /// Writes the fleet file of a node as of the start of the run. `addresses` are those of the registry; empty without one.
     pub fn create(
         shared: Arc<Shared>,
         node: usize,
@@ -26,29 +26,32 @@
         folder: &Path,
     ) -> std::io::Result<Self> {
         let file = folder.join(format!("{}-fleet.toml", shared.world.nodes[node].name));
-        let own = Self { file, addresses, shared };
-        own.update(0)?;
-        Ok(own)
+        let fleet_file = Self { file, addresses, shared };
+        fleet_file.update(0)?;
+        Ok(fleet_file)
     }
 
-    /// Where it is.
+    /// Path of the file.
     pub fn path(&self) -> &Path {
         &self.file
     }
 
-    /// Writes it with what is ordered at this time.
+    /// Rewrites the file with the zone overrides in effect at `now`.
     pub fn update(&self, now: Nanos) -> std::io::Result<()> {
         let zones = &self.shared.world.zones;
-        let named = |order: &brookfield::ZoneOverride| {
-            (zones[order.zone.0 as usize].clone(), Zone { share: order.traffic_share, ..Zone::default() })
+        let zone_entry = |zone_override: &brookfield::ZoneOverride| {
+            (
+                zones[zone_override.zone.0 as usize].clone(),
+                Zone { share: zone_override.traffic_share, ..Zone::default() },
+            )
         };
         let zones: BTreeMap<String, Zone> =
-            self.shared.timeline().zone_overrides(now).iter().map(named).collect();
+            self.shared.timeline().zone_overrides(now).iter().map(zone_entry).collect();
         let registry = (!self.addresses.is_empty()).then(|| Registry { addresses: self.addresses.clone() });
         let text = toml::to_string(&Fleet { registry, zones }).map_err(std::io::Error::other)?;
-        // Beside it first: a node that reads it meanwhile reads one of the two.
-        let fresh = self.file.with_extension("new");
-        std::fs::write(&fresh, text)?;
-        std::fs::rename(&fresh, &self.file)
+        // Written to a temporary file and renamed, so that a node never reads a partial file.
+        let new_file = self.file.with_extension("new");
+        std::fs::write(&new_file, text)?;
+        std::fs::rename(&new_file, &self.file)
     }
 }
--- a/rig/src/listener.rs
+++ b/rig/src/listener.rs
@@ -1,5 +1,5 @@
-//! A listening socket that can fall silent, as a machine that has vanished: connections to it never come up. And one
-//! that refuses, as a machine whose process has ended: its port stays taken meanwhile.
+//! A listening socket for fault injection. It can leave connection attempts unanswered, as an unreachable host does, or
+//! refuse them, as a host without the process does, and keeps its port reserved in both cases.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -8,115 +8,116 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
 const BACKLOG: i32 = 1024;
-/// Connections that fill the queue of a listener that takes none.
-const FILLERS: usize = 3;
-/// Ports that are tried until one is had: another program may take one in the moment between two calls.
-const TRIES: usize = 100;
-
-/// A listener on a loopback port, which it holds for as long as it lives.
-pub struct Door {
-    at: SocketAddr,
-    /// None if the system took it away; then nothing comes any more.
+/// Maximum number of connections opened to fill the accept queue of a silent listener.
+const QUEUE_FILLERS: usize = 3;
+/// Another process may take a free port between the call that finds it and the call that binds it.
+const MAX_BIND_TRIES: usize = 100;
+
+/// A listener on a loopback port that stays reserved until the listener is dropped.
+pub struct SwitchableListener {
+    address: SocketAddr,
+    /// `None` if it could not be registered with the runtime again; no more connections are accepted then.
     listener: Option<TcpListener>,
     state: State,
-    /// What fills the queue while it is silent.
-    fillers: Vec<TcpStream>,
+    /// Connections that keep the accept queue full while the listener is silent.
+    queue_fillers: Vec<TcpStream>,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum State {
-    Open,
-    /// The queue is full of connections that nobody will take.
+    Accepting,
+    /// The accept queue is full, so new connections are never established.
     Silent,
-    /// The port is held, and nobody listens.
-    Shut,
+    /// The port is bound without listening, so new connections are refused.
+    Refusing,
 }
 
-/// A socket whose port was asked for by its number: only such a one is held while nobody listens.
-fn held<T>(then: impl Fn(TcpSocket) -> io::Result<T>) -> io::Result<T> {
-    let mut last = None;
-    for _ in 0..TRIES {
-        let free = TcpSocket::new_v4()?;
-        free.bind(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))?;
-        let at = free.local_addr()?;
-        drop(free);
+/// Binds a socket to a free port by its number. The kernel may give a port that was bound as 0 to other sockets while
+/// it is not listening.
+fn bind_reserved<T>(configure: impl Fn(TcpSocket) -> io::Result<T>) -> io::Result<T> {
+    let mut last_error = None;
+    for _ in 0..MAX_BIND_TRIES {
+        let probe = TcpSocket::new_v4()?;
+        probe.bind(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))?;
+        let address = probe.local_addr()?;
+        drop(probe);
         let socket = TcpSocket::new_v4()?;
-        // Or nobody could listen beside it, nor beside connections from before.
+        // Lets another socket listen on the same port, also while old connections are in TIME_WAIT.
         socket.set_reuseaddr(true)?;
-        match socket.bind(at).and_then(|()| then(socket)) {
-            Ok(had) => return Ok(had),
-            Err(error) => last = Some(error),
+        match socket.bind(address).and_then(|()| configure(socket)) {
+            Ok(configured) => return Ok(configured),
+            Err(error) => last_error = Some(error),
         }
     }
-    Err(last.unwrap_or_else(|| io::ErrorKind::AddrInUse.into()))
+    Err(last_error.unwrap_or_else(|| io::ErrorKind::AddrInUse.into()))
 }
 
-/// A port held for a process that will listen there by its number, and meanwhile nobody else is given it.
+/// A loopback port reserved for a process that will bind it by number; the system gives it to no other socket.
 pub struct ReservedPort(TcpSocket);
 
 impl ReservedPort {
-    /// A port that nobody has.
+    /// Reserves a free port.
     pub fn reserve() -> io::Result<Self> {
-        held(|socket| Ok(Self(socket)))
+        bind_reserved(|socket| Ok(Self(socket)))
     }
 
-    /// Its address.
+    /// The address to bind.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.0.local_addr()
     }
 }
 
-impl Door {
-    /// A listener on a port that nobody else has.
-    pub fn open() -> io::Result<Self> {
-        let listener = held(|socket| socket.listen(BACKLOG as u32))?;
+impl SwitchableListener {
+    /// Listens on a free loopback port.
+    pub fn bind() -> io::Result<Self> {
+        let listener = bind_reserved(|socket| socket.listen(BACKLOG as u32))?;
         Ok(Self {
-            at: listener.local_addr()?,
+            address: listener.local_addr()?,
             listener: Some(listener),
-            state: State::Open,
-            fillers: Vec::new(),
+            state: State::Accepting,
+            queue_fillers: Vec::new(),
         })
     }
 
-    /// A port that is held, at which nobody listens yet.
-    pub fn shut_from_the_start() -> io::Result<Self> {
-        let mut door = Self::open()?;
-        door.shut()?;
-        Ok(door)
+    /// Reserves a port that refuses connections until [`Self::reopen`].
+    pub fn bind_refusing() -> io::Result<Self> {
+        let mut listener = Self::bind()?;
+        listener.refuse()?;
+        Ok(listener)
     }
 
-    /// Its address, which never changes.
-    pub fn at(&self) -> SocketAddr {
-        self.at
+    /// The local address; it is the same in every state.
+    pub fn address(&self) -> SocketAddr {
+        self.address
     }
 
-    /// The next connection; waits for ever while none can come.
+    /// Accepts the next connection; pending while the listener is silent or refuses.
     pub async fn accept(&self) -> io::Result<TcpStream> {
-        match self.listener.as_ref().filter(|_| self.state == State::Open) {
+        match self.listener.as_ref().filter(|_| self.state == State::Accepting) {
             Some(listener) => Ok(listener.accept().await?.0),
             None => std::future::pending().await,
         }
     }
 
-    /// From now on connections come up again.
+    /// Accepts connections again.
     pub fn reopen(&mut self) -> io::Result<()> {
-        self.fillers.clear();
+        self.queue_fillers.clear();
         let Some(listener) = self.listener.take() else { return Err(io::ErrorKind::NotConnected.into()) };
         let listener = listener.into_std()?;
         rustix::net::listen(&listener, BACKLOG)?;
-        // The runtime remembers for ever that a socket was shut, and would try it again and again: it gets it as a
-        // new one.
+        // The runtime keeps the readiness of a socket that was shut down and would poll it in a busy loop, so the
+        // socket is registered anew.
         self.listener = Some(TcpListener::from_std(listener)?);
-        self.state = State::Open;
+        self.state = State::Accepting;
         Ok(())
     }
 
-    /// From now on connections are refused.
-    pub fn shut(&mut self) -> io::Result<()> {
-        if self.state != State::Shut {
-            self.state = State::Shut;
-            self.fillers.clear();
-            // Ends the listening and keeps the port.
+    /// Refuses new connections.
+    pub fn refuse(&mut self) -> io::Result<()> {
+        if self.state != State::Refusing {
+            self.state = State::Refusing;
+            self.queue_fillers.clear();
+            // Stops listening without releasing the port.
             if let Some(listener) = &self.listener {
                 rustix::net::shutdown(listener, Shutdown::Read)?;
             }
@@ -124,16 +125,16 @@
         Ok(())
     }
 
-    /// From now on connections never come up.
+    /// Leaves new connections unanswered.
     pub async fn silence(&mut self) -> io::Result<()> {
         let Some(listener) = &self.listener else { return Err(io::ErrorKind::NotConnected.into()) };
         rustix::net::listen(listener, 0)?;
         self.state = State::Silent;
-        for _ in 0..FILLERS {
-            let soon = std::time::Duration::from_millis(5);
-            match tokio::time::timeout(soon, TcpStream::connect(self.at)).await {
-                Ok(Ok(stream)) => self.fillers.push(stream),
-                // Its queue is full: that is what was wanted.
+        for _ in 0..QUEUE_FILLERS {
+            let connect_timeout = std::time::Duration::from_millis(5);
+            match tokio::time::timeout(connect_timeout, TcpStream::connect(self.address)).await {
+                Ok(Ok(stream)) => self.queue_fillers.push(stream),
+                // The accept queue is full.
                 Ok(Err(_)) | Err(_) => break,
             }
         }
--- a/rig/src/listener/tests.rs
+++ b/rig/src/listener/tests.rs
@@ -2,57 +2,60 @@
 
 use super::*;
 
-async fn comes_up(at: SocketAddr) -> Option<io::Result<TcpStream>> {
-    tokio::time::timeout(Duration::from_millis(300), TcpStream::connect(at)).await.ok()
+async fn connect(address: SocketAddr) -> Option<io::Result<TcpStream>> {
+    tokio::time::timeout(Duration::from_millis(300), TcpStream::connect(address)).await.ok()
 }
 
 #[tokio::test]
-async fn a_door_refuses_falls_silent_and_opens_again_at_the_same_address() {
-    let mut door = Door::open().expect("a port");
-    let at = door.at();
+async fn a_listener_refuses_goes_silent_and_reopens_at_the_same_address() {
+    let mut listener = SwitchableListener::bind().expect("bind");
+    let address = listener.address();
     let mut open = Vec::new();
     for _ in 0..2 {
-        open.push(comes_up(at).await.expect("in time").expect("up"));
-        door.accept().await.expect("taken");
-        door.shut().expect("shut");
-        assert!(comes_up(at).await.expect("at once").is_err(), "refused while shut");
-        door.reopen().expect("open");
-        open.push(comes_up(at).await.expect("in time").expect("up"));
-        tokio::time::timeout(Duration::from_secs(10), door.accept()).await.expect("in time").expect("taken");
-        let idle = tokio::time::timeout(Duration::from_millis(50), door.accept()).await;
-        assert!(idle.is_err(), "nothing more comes, and the wait for it lets others run");
-        door.silence().await.expect("silent");
-        // What crosses the change may come up; then nothing does.
-        let mut silent = 0;
+        open.push(connect(address).await.expect("connect within the timeout").expect("connect"));
+        listener.accept().await.expect("accept");
+        listener.refuse().expect("refuse connections");
+        assert!(connect(address).await.expect("immediate answer").is_err(), "connection should be refused");
+        listener.reopen().expect("reopen");
+        open.push(connect(address).await.expect("connect within the timeout").expect("connect"));
+        tokio::time::timeout(Duration::from_secs(10), listener.accept())
+            .await
+            .expect("accept within 10 s")
+            .expect("accept");
+        let idle = tokio::time::timeout(Duration::from_millis(50), listener.accept()).await;
+        assert!(idle.is_err(), "accept should stay pending without blocking the runtime");
+        listener.silence().await.expect("silence");
+        // Connections opened during the switch may still be established.
+        let mut unanswered = 0;
         for _ in 0..6 {
-            silent += u32::from(comes_up(at).await.is_none());
+            unanswered += u32::from(connect(address).await.is_none());
         }
-        assert!(silent >= 3, "{silent} of 6 never came up");
-        door.reopen().expect("open");
+        assert!(unanswered >= 3, "{unanswered} of 6 connections were left unanswered");
+        listener.reopen().expect("reopen");
     }
 }
 
 #[tokio::test]
-async fn a_port_is_held_while_it_is_shut() {
-    let door = Door::shut_from_the_start().expect("a port");
-    let other = TcpSocket::new_v4().expect("a socket");
-    assert!(other.bind(door.at()).is_err());
-    assert!(comes_up(door.at()).await.expect("at once").is_err());
+async fn a_port_stays_reserved_while_its_listener_refuses() {
+    let listener = SwitchableListener::bind_refusing().expect("bind");
+    let other = TcpSocket::new_v4().expect("socket");
+    assert!(other.bind(listener.address()).is_err());
+    assert!(connect(listener.address()).await.expect("immediate answer").is_err());
 }
 
 #[tokio::test]
-async fn a_port_is_held_for_whoever_listens_there_by_its_number_alone() {
-    let port = ReservedPort::reserve().expect("a port");
-    let at = port.address().expect("its address");
-    let other = TcpSocket::new_v4().expect("a socket");
-    assert!(other.bind(at).is_err(), "one that just wants a free port is not given it");
+async fn a_reserved_port_is_available_only_to_a_process_that_binds_it_by_number() {
+    let port = ReservedPort::reserve().expect("reserve a port");
+    let address = port.address().expect("local address");
+    let other = TcpSocket::new_v4().expect("socket");
+    assert!(other.bind(address).is_err(), "a socket without SO_REUSEADDR should not get the port");
     for _ in 0..2 {
-        let listener = std::net::TcpListener::bind(at).expect("its own process listens");
-        assert!(comes_up(at).await.expect("at once").is_ok());
+        let listener = std::net::TcpListener::bind(address).expect("bind by number");
+        assert!(connect(address).await.expect("connect within the timeout").is_ok());
         drop(listener);
-        // A process that another test is just starting may have the listener for a moment longer.
-        let refused = async { while comes_up(at).await.is_none_or(|came| came.is_ok()) {} };
+        // A child process forked by another test may inherit the listener for a moment.
+        let refused = async { while connect(address).await.is_none_or(|result| result.is_ok()) {} };
         let in_time = tokio::time::timeout(Duration::from_secs(10), refused).await;
-        assert!(in_time.is_ok(), "refused while nobody listens");
+        assert!(in_time.is_ok(), "connections should be refused while nothing listens");
     }
 }
--- a/rig/src/relay.rs
+++ b/rig/src/relay.rs
@@ -1,4 +1,4 @@
-//! A link of the rig's own between two processes, which can be cut, delayed, throttled or reset while they talk.
+//! A TCP relay between two processes that injects link faults: cut, delay, throttle and reset.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,21 +14,22 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use crate::listener::Door;
+use crate::listener::SwitchableListener;
 use crate::shared::Shared;
 
-/// Links that a run may have at most: each holds a port and, while it is used, some descriptors.
+/// Maximum number of relays in a run; each takes a port, and each connection through it two sockets.
 pub const MAX_LINKS: usize = 4096;
-/// Bytes taken from a connection at a time, and pieces that may be on their way in one direction.
-const PIECE: usize = 16 * 1024;
-const PIECES: usize = 64;
-/// How often a link looks whether it is cut, and draws whether it is reset.
-const LOOK: Duration = Duration::from_millis(10);
+/// Maximum bytes per read.
+const CHUNK_BYTES: usize = 16 * 1024;
+/// Maximum number of chunks buffered in one direction of a connection.
+const MAX_QUEUED_CHUNKS: usize = 64;
+/// Interval at which a relay checks whether its link is cut and samples connection resets.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A party and its zone.
+/// One end of a link and its zone.
 pub type ZonedEnd = (LinkEnd, u32);
 
-/// One link, from whoever opens the connections to whoever takes them.
+/// A relay for connections that `from` opens to `to`.
 pub struct Relay {
     shared: Arc<Shared>,
     from: ZonedEnd,
@@ -37,106 +38,106 @@
 }
 
 impl Relay {
-    /// Opens a link and tells where it listens; it ends with the runtime.
+    /// Starts a relay to `target` and returns its listening address. It runs until the runtime shuts down.
     pub fn start(
         shared: Arc<Shared>,
         from: ZonedEnd,
         to: ZonedEnd,
         target: SocketAddr,
     ) -> std::io::Result<SocketAddr> {
-        let door = Door::open()?;
-        let at = door.at();
-        let number = 60_000 + u64::from(at.port());
-        let luck = rng_stream(shared.world.seed, number);
-        tokio::spawn(Arc::new(Self { shared, from, to, target }).run(door, luck));
-        Ok(at)
+        let listener = SwitchableListener::bind()?;
+        let address = listener.address();
+        let stream = 60_000 + u64::from(address.port());
+        let rng = rng_stream(shared.world.seed, stream);
+        tokio::spawn(Arc::new(Self { shared, from, to, target }).run(listener, rng));
+        Ok(address)
     }
 
-    /// What goes one way: out is from the opener to the taker.
-    fn trouble(&self, out: bool) -> Option<LinkFault> {
+    /// The active fault in one direction; `forward` is from the side that opens connections.
+    fn fault(&self, forward: bool) -> Option<LinkFault> {
         let now = self.shared.clock.now();
-        let (from, to) = if out { (self.from, self.to) } else { (self.to, self.from) };
+        let (from, to) = if forward { (self.from, self.to) } else { (self.to, self.from) };
         self.shared.timeline().link_fault(now, from, to)
     }
 
     fn is_cut(&self) -> bool {
-        // Without the way back no connection comes up either.
-        [true, false].iter().any(|out| self.trouble(*out) == Some(LinkFault::Cut))
+        // A connection cannot be established if either direction is cut.
+        [true, false].iter().any(|forward| self.fault(*forward) == Some(LinkFault::Cut))
     }
 
-    async fn run(self: Arc<Self>, mut door: Door, mut luck: ChaCha12Rng) {
-        let mut open: JoinSet<()> = JoinSet::new();
+    async fn run(self: Arc<Self>, mut listener: SwitchableListener, mut rng: ChaCha12Rng) {
+        let mut connections: JoinSet<()> = JoinSet::new();
         let mut cut = false;
-        let mut look = tokio::time::interval(LOOK);
-        look.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
+        let mut poll = tokio::time::interval(POLL_INTERVAL);
+        poll.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
         loop {
             tokio::select! {
-                _ = look.tick() => {
+                _ = poll.tick() => {
                     let now_cut = self.is_cut();
                     if now_cut != cut {
                         cut = now_cut;
-                        // A listener that can't change its ways goes on; what passes is held all the same.
-                        let _ = if cut { door.silence().await } else { door.reopen() };
+                        // If the listener cannot switch, `copy` still holds back the bytes of a cut link.
+                        let _ = if cut { listener.silence().await } else { listener.reopen() };
                     }
-                    if let Some(LinkFault::Reset(chance)) = self.trouble(true).or_else(|| self.trouble(false)) {
-                        let each = 1.0 - (1.0 - chance.min(1.0)).powf(LOOK.as_secs_f64());
-                        if luck.random::<f64>() < each {
-                            open.abort_all();
+                    if let Some(LinkFault::Reset(chance)) = self.fault(true).or_else(|| self.fault(false)) {
+                        let chance_per_poll = 1.0 - (1.0 - chance.min(1.0)).powf(POLL_INTERVAL.as_secs_f64());
+                        if rng.random::<f64>() < chance_per_poll {
+                            connections.abort_all();
                         }
                     }
                 }
-                accepted = door.accept() => {
+                accepted = listener.accept() => {
                     let Ok(stream) = accepted else { continue };
-                    open.spawn(self.clone().carry(stream));
+                    connections.spawn(self.clone().relay_connection(stream));
                 }
-                Some(_) = open.join_next(), if !open.is_empty() => {}
+                Some(_) = connections.join_next(), if !connections.is_empty() => {}
             }
         }
     }
 
-    async fn carry(self: Arc<Self>, near: TcpStream) {
-        let Ok(far) = TcpStream::connect(self.target).await else { return };
-        let _ = near.set_nodelay(true).and(far.set_nodelay(true));
-        let (near_read, near_write) = near.into_split();
-        let (far_read, far_write) = far.into_split();
-        // One side's end ends the other, as on a plain connection.
+    async fn relay_connection(self: Arc<Self>, inbound: TcpStream) {
+        let Ok(outbound) = TcpStream::connect(self.target).await else { return };
+        let _ = inbound.set_nodelay(true).and(outbound.set_nodelay(true));
+        let (inbound_read, inbound_write) = inbound.into_split();
+        let (outbound_read, outbound_write) = outbound.into_split();
+        // Closes both connections as soon as one direction has ended.
         tokio::select! {
-            () = self.clone().pass(near_read, far_write, true) => {}
-            () = self.clone().pass(far_read, near_write, false) => {}
+            () = self.clone().copy(inbound_read, outbound_write, true) => {}
+            () = self.clone().copy(outbound_read, inbound_write, false) => {}
         }
     }
 
-    async fn pass(self: Arc<Self>, mut from: OwnedReadHalf, mut to: OwnedWriteHalf, out: bool) {
-        let (send, mut receive) = mpsc::channel::<(Instant, Vec<u8>)>(PIECES);
-        let reading = async {
-            let mut piece = vec![0; PIECE];
-            while let Ok(count @ 1..) = from.read(&mut piece).await {
-                let mut due = Instant::now();
-                match self.trouble(out) {
-                    Some(LinkFault::Delay(more)) => due += Duration::from_nanos(more),
+    async fn copy(self: Arc<Self>, mut from: OwnedReadHalf, mut to: OwnedWriteHalf, forward: bool) {
+        let (sender, mut receiver) = mpsc::channel::<(Instant, Vec<u8>)>(MAX_QUEUED_CHUNKS);
+        let read_chunks = async {
+            let mut chunk = vec![0; CHUNK_BYTES];
+            while let Ok(count @ 1..) = from.read(&mut chunk).await {
+                let mut deliver_at = Instant::now();
+                match self.fault(forward) {
+                    Some(LinkFault::Delay(delay)) => deliver_at += Duration::from_nanos(delay),
                     Some(LinkFault::Throttle(rate)) => {
                         sleep(Duration::from_secs_f64(count as f64 / rate.max(1.0))).await;
                     }
                     _ => {}
                 }
-                if send.send((due, piece[..count].to_vec())).await.is_err() {
+                if sender.send((deliver_at, chunk[..count].to_vec())).await.is_err() {
                     return;
                 }
             }
-            drop(send);
+            drop(sender);
         };
-        let writing = async {
-            while let Some((due, piece)) = receive.recv().await {
-                sleep_until(due).await;
-                while self.trouble(out) == Some(LinkFault::Cut) {
-                    sleep(LOOK).await;
+        let write_chunks = async {
+            while let Some((deliver_at, chunk)) = receiver.recv().await {
+                sleep_until(deliver_at).await;
+                while self.fault(forward) == Some(LinkFault::Cut) {
+                    sleep(POLL_INTERVAL).await;
                 }
-                if to.write_all(&piece).await.is_err() {
+                if to.write_all(&chunk).await.is_err() {
                     return;
                 }
             }
             let _ = to.shutdown().await;
         };
-        tokio::join!(reading, writing);
+        tokio::join!(read_chunks, write_chunks);
     }
 }
--- a/rig/src/servers.rs
+++ b/rig/src/servers.rs
@@ -27,7 +27,7 @@
 use tokio::sync::{Notify, oneshot, watch};
 use tokio::task::JoinSet;
 
-use crate::listener::Door;
+use crate::listener::SwitchableListener;
 use crate::shared::{RequestInfo, Shared, lock};
 
 /// The protocol's bound of a body.
@@ -82,7 +82,11 @@
     /// Opens a server's port and starts its tasks; they end with the runtime.
     pub fn spawn(shared: Arc<Shared>, instance: u32, first: InitialState) -> std::io::Result<Arc<Self>> {
         let place = shared.timeline().instances[instance as usize].server;
-        let door = if first == InitialState::Up { Door::open()? } else { Door::shut_from_the_start()? };
+        let listener = if first == InitialState::Up {
+            SwitchableListener::bind()?
+        } else {
+            SwitchableListener::bind_refusing()?
+        };
         let mut server = Server::new(shared.world.servers[place].spec, shared.clock.now());
         if first == InitialState::Down {
             server.stop(shared.clock.now());
@@ -92,7 +96,7 @@
         let own = Arc::new(Self {
             instance,
             place,
-            address: door.at(),
+            address: listener.address(),
             shared,
             inside: Mutex::new(Inside { server, waiting: HashMap::new(), luck }),
             machine: watch::Sender::new(machine),
@@ -101,7 +105,7 @@
             started_at: Mutex::default(),
             draining: AtomicBool::new(false),
         });
-        tokio::spawn(own.clone().take_connections(door, machine));
+        tokio::spawn(own.clone().take_connections(listener, machine));
         tokio::spawn(own.clone().keep_time());
         Ok(own)
     }
@@ -187,7 +191,7 @@
         self.wake.notify_one();
     }
 
-    async fn take_connections(self: Arc<Self>, mut door: Door, mut machine: Machine) {
+    async fn take_connections(self: Arc<Self>, mut listener: SwitchableListener, mut machine: Machine) {
         let mut wanted = self.machine.subscribe();
         let mut open = JoinSet::new();
         loop {
@@ -199,9 +203,9 @@
                     }
                     let next = *wanted.borrow_and_update();
                     let done = match next {
-                        Machine::Up => door.reopen(),
-                        Machine::Down => door.shut(),
-                        Machine::Silent => door.silence().await,
+                        Machine::Up => listener.reopen(),
+                        Machine::Down => listener.refuse(),
+                        Machine::Silent => listener.silence().await,
                     };
                     // A port lost to another program on this machine is no fault of the node's.
                     if let Err(error) = done {
@@ -214,7 +218,7 @@
                     }
                     machine = next;
                 }
-                accepted = door.accept() => {
+                accepted = listener.accept() => {
                     let Ok(stream) = accepted else { continue };
                     if lock(&self.inside).server.connect(self.shared.clock.now()) {
                         open.spawn(self.clone().converse(stream));
--- a/rig/src/sockets.rs
+++ b/rig/src/sockets.rs
@@ -24,7 +24,7 @@
 use tokio::task::JoinSet;
 use tokio::time::{interval, sleep};
 
-use crate::discovery::{Agent, Endpoints};
+use crate::discovery::{DiscoveryAgent, Endpoints};
 use crate::experiment::Experiment;
 use crate::fleet_file::FleetFile;
 use crate::keeper::Keeper;
@@ -133,7 +133,7 @@
 struct Run {
     shared: Arc<Shared>,
     servers: Vec<Arc<AppServer>>,
-    agents: Vec<Arc<Agent>>,
+    agents: Vec<Arc<DiscoveryAgent>>,
     /// Where each node finds its agent, at the start of the run; a link may stand between.
     discovery: Vec<SocketAddr>,
     nodes: Vec<Arc<NodeProcess>>,
@@ -190,9 +190,10 @@
             let link = Relay::start(shared.clone(), from, to, direct[instance]);
             endpoints[instance] = link.map_err(setup_error("a link's port"))?;
         }
-        let agent = Agent::open(shared.clone(), node, endpoints).map_err(setup_error("an agent's port"))?;
+        let agent =
+            DiscoveryAgent::start(shared.clone(), node, endpoints).map_err(setup_error("an agent's port"))?;
         let own = (LinkEnd::Node(node), shared.world.nodes[node].zone);
-        let direct = agent.at();
+        let direct = agent.address();
         let found = if faulted.iter().any(|one| one.concerns(own, DISCOVERY_END)) {
             Relay::start(shared.clone(), own, DISCOVERY_END, direct).map_err(setup_error("a link's port"))?
         } else {
@@ -381,7 +382,7 @@
         lock(&self.shared.notified_starts[node]).clear();
         let known = if self.registry.is_some() { json!(null) } else { agent.list() };
         // An agent that has moved is found at its new address, without the link that stood before the old one.
-        let at = if agent.has_moved() { agent.at() } else { self.discovery[node] };
+        let at = if agent.has_moved() { agent.address() } else { self.discovery[node] };
         self.nodes[node].start(at, known).await?;
         let place = &self.callers.places[node];
         *lock(&place.at) = self.nodes[node].at();
@@ -649,8 +650,8 @@
             FaultAction::MoveDiscovery if begins => {
                 for (agent, node) in self.agents.iter().zip(&self.nodes) {
                     let moved = agent.relocate().map_err(|error| error.to_string());
-                    let told =
-                        moved.and_then(|()| node.reconfigure(agent.at()).map_err(|error| error.to_string()));
+                    let told = moved
+                        .and_then(|()| node.reconfigure(agent.address()).map_err(|error| error.to_string()));
                     if let Err(cause) = told {
                         self.shared.record_event("rig-trouble", json!({"node": node.name, "cause": cause}));
                     }
