--- a/model/src/simulation.rs
+++ b/model/src/simulation.rs
@@ -61,7 +61,7 @@
                 mix(count);
             }
         }
-        for bucket in self.stats.total_latency.iter_recorded() {
+        for bucket in self.stats.overall_latency.iter_recorded() {
             mix(bucket.value_iterated_to());
             mix(bucket.count_since_last_iteration());
         }
--- a/model/src/stats.rs
+++ b/model/src/stats.rs
@@ -67,7 +67,7 @@
     /// Latency of requests served, in microseconds.
     pub served_latency: Histogram<u64>,
     /// Latency of all requests, in microseconds.
-    pub total_latency: Histogram<u64>,
+    pub overall_latency: Histogram<u64>,
     /// Tries made by clients.
     pub tries: u64,
     /// Attempts made by nodes.
@@ -95,7 +95,7 @@
             per_second: Vec::new(),
             per_class: vec![OutcomeCounts::default(); world.classes.len()],
             served_latency: histogram(),
-            total_latency: histogram(),
+            overall_latency: histogram(),
             tries: 0,
             attempts: 0,
             cross_zone_attempts: 0,
@@ -130,7 +130,7 @@
         }
         self.per_second[second].add(&counts);
         self.per_class[request.class].add(&counts);
-        self.total_latency.saturating_record((latency / 1000).max(1));
+        self.overall_latency.saturating_record((latency / 1000).max(1));
         if outcome == RequestOutcome::Served {
             self.served_latency.saturating_record((latency / 1000).max(1));
         }
@@ -145,7 +145,7 @@
         self.per_class.iter_mut().zip(&other.per_class).for_each(|(own, other)| own.add(other));
         // Both histograms have the same bounds, so adding does not fail.
         let _ = self.served_latency.add(&other.served_latency);
-        let _ = self.total_latency.add(&other.total_latency);
+        let _ = self.overall_latency.add(&other.overall_latency);
         self.tries += other.tries;
         self.attempts += other.attempts;
         self.cross_zone_attempts += other.cross_zone_attempts;
