--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -151,8 +151,7 @@
             concurrent_attempts: flag("second-copies"),
             probes: flag("probes"),
             cancel: flag("may-cancel"),
-            // Sent even if the settings say that clients ignore it: it costs nothing and some clients honor
-            // it.
+            // Sent even if the settings say that clients ignore it, as some of them honor it.
             max_retry_after: limits.unsigned_or("max-retry-after-ns", 0)?,
         },
         rules: RuleParameters {
