--- a/cli/src/check.rs
+++ b/cli/src/check.rs
@@ -4,7 +4,7 @@
 
 use flaxdale_fleet::file::Fleet;
 use flaxdale_registry::settings::Settings;
-use flaxdale_rig::experiment::{Experiment, On};
+use flaxdale_rig::experiment::{Experiment, Mode};
 use serde_json::Value;
 
 use crate::Exit;
@@ -70,11 +70,11 @@
 
 fn experiment(file: &Path) -> Result<String, String> {
     let experiment = Experiment::read(file).map_err(|error| error.to_string())?;
-    let on = if experiment.run.on == On::Virtual { "in virtual time" } else { "on sockets" };
+    let on = if experiment.run.mode == Mode::Virtual { "in virtual time" } else { "on sockets" };
     Ok(format!(
         "{}: an experiment of {} s {on}: {} nodes, {} app servers in {} zones, {} faults",
         file.display(),
-        experiment.run.seconds,
+        experiment.run.duration_s,
         experiment.fleet.nodes,
         experiment.fleet.servers,
         experiment.fleet.zones.len(),
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -129,7 +129,7 @@
         Task::Zone(zone) => zone.run(),
         Task::Config(Config::Check { file }) => check::check(&file),
         Task::Keeper => {
-            flaxdale_rig::keeper::keep(std::io::stdin().lock());
+            flaxdale_rig::cleanup::run(std::io::stdin().lock());
             Exit::Well
         }
     };
--- a/cli/src/rig.rs
+++ b/cli/src/rig.rs
@@ -4,12 +4,12 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use clap::{Args, Subcommand};
-use flaxdale_rig::compare::{Better, compare};
-use flaxdale_rig::experiment::{Experiment, On};
-use flaxdale_rig::play::{self, Order};
+use flaxdale_rig::compare::{Winner, compare};
+use flaxdale_rig::experiment::{Experiment, Mode};
 use flaxdale_rig::rank::{Build, Score, rank_correlation, score};
 use flaxdale_rig::report;
 use flaxdale_rig::result::{RunResult, Verdict};
+use flaxdale_rig::runner::{self, RunSpec};
 use flaxdale_rig::sockets::RunError;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
@@ -158,7 +158,7 @@
             Ok(experiment) => experiment,
             Err(problem) => return usage(problem.to_string()),
         };
-        let on_sockets = experiment.run.on == On::Sockets;
+        let on_sockets = experiment.run.mode == Mode::Sockets;
         let binary = match node_program(self.node.as_ref()) {
             Ok(binary) => binary,
             Err(problem) if on_sockets => return usage(problem),
@@ -179,19 +179,19 @@
         if !self.quiet {
             say(&format!("{name}, seed {seed}: {}", experiment.question));
         }
-        let order = Order {
+        let spec = RunSpec {
             name,
             experiment,
             seed,
             folder: folder.clone(),
-            binary,
-            own: own_program(),
-            keeper: keeper(),
+            node_binary: binary,
+            registry_binary: own_program(),
+            cleanup_command: keeper(),
         };
         let quiet = self.quiet;
         let played = runtime.block_on(async {
             let told = told_to_stop()?;
-            play::play(order, told, move |progress| {
+            runner::run(spec, told, move |progress| {
                 if !quiet {
                     live(progress)
                 }
@@ -206,7 +206,7 @@
             Err(error) => {
                 complain(&error.to_string());
                 match error {
-                    play::PlayError::Run(RunError::TooManyLinks(_)) => Exit::Usage,
+                    runner::ExperimentError::Sockets(RunError::TooManyLinks(_)) => Exit::Usage,
                     _ => Exit::Machine,
                 }
             }
@@ -225,7 +225,7 @@
         figure("latency_p50_ms"),
         figure("latency_p99_ms")
     ));
-    if result.on == On::Virtual {
+    if result.mode == Mode::Virtual {
         say(&format!(
             "{:.1} times real time, {:.0} requests a second of real time",
             figure("times_real_time"),
@@ -242,9 +242,9 @@
     }
     let checked: u64 = result.invariants.iter().map(|rule| rule.checked).sum();
     let (words, exit) = match result.verdict {
-        Verdict::Kept => (format!("every rule kept, {checked} checks"), Exit::Well),
-        Verdict::Broken => ("a rule was broken".to_owned(), Exit::Broken),
-        Verdict::None => {
+        Verdict::Passed => (format!("every rule kept, {checked} checks"), Exit::Well),
+        Verdict::Failed => ("a rule was broken".to_owned(), Exit::Broken),
+        Verdict::Inconclusive => {
             (format!("no verdict: {}", result.reason.as_deref().unwrap_or("unknown")), Exit::NoVerdict)
         }
     };
@@ -301,7 +301,7 @@
             let of = scores
                 .iter()
                 .filter(|score| score.build == build && experiment.is_none_or(|e| e == score.experiment));
-            let worths: Vec<f64> = of.map(|score| score.worth).collect();
+            let worths: Vec<f64> = of.map(|score| score.value_share).collect();
             worths.iter().sum::<f64>() / worths.len().max(1) as f64
         };
         let all: Vec<f64> = (0..builds.len()).map(|build| mean(build, None)).collect();
@@ -312,7 +312,7 @@
         for build in order {
             let by: Vec<String> =
                 (0..experiments.len()).map(|e| format!("{:>12.4}", mean(build, Some(e)))).collect();
-            let broken: u64 = scores.iter().filter(|score| score.build == build).map(|s| s.broken).sum();
+            let broken: u64 = scores.iter().filter(|score| score.build == build).map(|s| s.violations).sum();
             say(&format!("{:<12}{:>8.4}{}  {broken}", builds[build].name, all[build], by.concat()));
         }
         if let Some(correlation) = rank_correlation(&all, &self.against) {
@@ -340,8 +340,8 @@
     for file in files {
         match Experiment::read(&file) {
             Ok(experiment) => {
-                let on = if experiment.run.on == On::Virtual { "virtual" } else { "sockets" };
-                let (name, seconds) = (name_of(&file), experiment.run.seconds);
+                let on = if experiment.run.mode == Mode::Virtual { "virtual" } else { "sockets" };
+                let (name, seconds) = (name_of(&file), experiment.run.duration_s);
                 say(&format!("{name:<22}{on:<9}{seconds:>5} s  {}", experiment.question));
             }
             Err(problem) => {
@@ -364,12 +364,12 @@
     let comparison = compare(&a, &b);
     say(&format!("A: {} seed {}, version {}", a.experiment, a.seed, a.version));
     say(&format!("B: {} seed {}, version {}", b.experiment, b.seed, b.version));
-    say(report::lines(&comparison).trim_end());
-    let words = match comparison.better {
-        Better::A => "A is better",
-        Better::B => "B is better",
-        Better::Neither => "neither is better, as far as these two runs tell",
+    say(report::comparison_table(&comparison).trim_end());
+    let words = match comparison.winner {
+        Winner::A => "A is better",
+        Winner::B => "B is better",
+        Winner::Neither => "neither is better, as far as these two runs tell",
     };
-    say(&format!("{words}: {}", comparison.because));
-    if comparison.better == Better::A { Exit::Broken } else { Exit::Well }
+    say(&format!("{words}: {}", comparison.reason));
+    if comparison.winner == Winner::A { Exit::Broken } else { Exit::Well }
 }
--- a/cli/src/up.rs
+++ b/cli/src/up.rs
@@ -47,11 +47,11 @@
         (experiment.fleet.nodes, experiment.fleet.servers) = (self.nodes, self.servers);
         experiment.registry.replicas = self.replicas;
         experiment.load.rps = self.rps;
-        experiment.run.log = Some("info".to_owned());
+        experiment.run.log_filter = Some("info".to_owned());
         if let Some(seconds) = self.seconds {
-            experiment.run.seconds = seconds;
+            experiment.run.duration_s = seconds;
         }
-        if let Err(problem) = experiment.check() {
+        if let Err(problem) = experiment.validate() {
             complain(&problem.to_string());
             return Exit::Usage;
         }
--- a/rig/src/keeper.rs
+++ b/rig/src/cleanup.rs
@@ -14,13 +14,13 @@
 use crate::shared::lock;
 
 /// The keeper as the rig holds it.
-pub struct Keeper {
+pub struct CleanupProcess {
     child: Child,
     pipe: Mutex<Option<ChildStdin>>,
 }
 
-impl Keeper {
-    /// Starts it: `command` is this program, asked to run [`keep`].
+impl CleanupProcess {
+    /// Starts it: `command` is this program, asked to run [`run`].
     pub fn start(mut command: Command) -> std::io::Result<Self> {
         use std::os::unix::process::CommandExt;
         // In a group of its own, so that a Ctrl-C at the terminal does not end it before the rig.
@@ -42,17 +42,17 @@
     }
 
     /// A process was started.
-    pub fn started(&self, pid: u32) {
+    pub fn add_process(&self, pid: u32) {
         self.tell(&format!("+{pid}\n"));
     }
 
     /// A process has ended.
-    pub fn ended(&self, pid: u32) {
+    pub fn remove_process(&self, pid: u32) {
         self.tell(&format!("-{pid}\n"));
     }
 
     /// A folder that is not to outlive the run was made.
-    pub fn made(&self, folder: &Path) {
+    pub fn add_folder(&self, folder: &Path) {
         self.tell(&format!("d{}\n", folder.display()));
     }
 
@@ -62,7 +62,7 @@
     }
 }
 
-impl Drop for Keeper {
+impl Drop for CleanupProcess {
     fn drop(&mut self) {
         lock(&self.pipe).take();
         // It ends with its pipe.
@@ -83,7 +83,7 @@
 }
 
 /// Keeps until its input ends, then ends what is left.
-pub fn keep(input: impl BufRead) {
+pub fn run(input: impl BufRead) {
     let mut processes: Vec<(u32, Option<String>)> = Vec::new();
     let mut folders: Vec<PathBuf> = Vec::new();
     for line in input.lines().map_while(Result::ok) {
--- a/rig/src/keeper/tests.rs
+++ b/rig/src/cleanup/tests.rs
@@ -18,7 +18,7 @@
         ended.id(),
         folder.display()
     );
-    keep(told.as_bytes());
+    run(told.as_bytes());
     for gone in [&mut left, &mut paused] {
         assert!(!gone.wait().expect("its end").success());
     }
--- a/rig/src/experiment.rs
+++ b/rig/src/experiment.rs
@@ -11,12 +11,12 @@
 use serde::{Deserialize, Serialize};
 
 /// Seconds that a run on sockets may last at most: its load has to be bounded.
-const MOST_SOCKET_SECONDS: f64 = 3600.0;
+const MAX_SOCKET_RUN_SECONDS: f64 = 3600.0;
 
-/// On what an experiment is played.
+/// Where an experiment runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum On {
+pub enum Mode {
     /// Real node processes and sockets, in real time.
     #[default]
     Sockets,
@@ -29,23 +29,31 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Run {
     /// For how long requests come.
-    pub seconds: f64,
-    /// On what it is played.
-    pub on: On,
+    #[serde(rename = "seconds")]
+    pub duration_s: f64,
+    /// Where it runs.
+    #[serde(rename = "on")]
+    pub mode: Mode,
     /// The seed, where the command line names none.
     pub seed: u64,
     /// No verdict is given if the rig itself was later than this at the 99th percentile, in milliseconds.
-    pub lateness_ms: f64,
+    #[serde(rename = "lateness_ms")]
+    pub max_lateness_ms: f64,
     /// By how much what two parties of the rig see may differ, in milliseconds: the rules' slack on sockets.
-    pub slack_ms: f64,
+    #[serde(rename = "slack_ms")]
+    pub tolerance_ms: f64,
     /// A node that is not ready so many seconds after its start never will be.
-    pub ready_s: f64,
+    #[serde(rename = "ready_s")]
+    pub ready_timeout_s: f64,
     /// Most memory of a node's process, in mebibytes.
-    pub memory_mb: u64,
+    #[serde(rename = "memory_mb")]
+    pub max_memory_mib: u64,
     /// Most descriptors of a node's process.
-    pub sockets: u64,
+    #[serde(rename = "sockets")]
+    pub max_descriptors: u64,
     /// The nodes' log filter; with few nodes each request's steps are kept, with many they are not.
-    pub log: Option<String>,
+    #[serde(rename = "log")]
+    pub log_filter: Option<String>,
     /// In virtual time nodes handle what has come in once in so long; 0 for at once.
     pub tick_ms: f64,
 }
@@ -53,15 +61,15 @@
 impl Default for Run {
     fn default() -> Self {
         Self {
-            seconds: 15.0,
-            on: On::Sockets,
+            duration_s: 15.0,
+            mode: Mode::Sockets,
             seed: 1,
-            lateness_ms: 50.0,
-            slack_ms: 50.0,
-            ready_s: 20.0,
-            memory_mb: 192,
-            sockets: 1024,
-            log: None,
+            max_lateness_ms: 50.0,
+            tolerance_ms: 50.0,
+            ready_timeout_s: 20.0,
+            max_memory_mib: 192,
+            max_descriptors: 1024,
+            log_filter: None,
             tick_ms: 0.0,
         }
     }
@@ -102,13 +110,13 @@
     pub fn read(file: &Path) -> Result<Self, FileError> {
         file::read(file, |experiment: &Self| {
             experiment
-                .check()
+                .validate()
                 .map_err(|ValidationError { key, message: text }| file::ValidationError { key, text })
         })
     }
 
     /// What is played.
-    pub fn plan(&self) -> Scenario {
+    pub fn scenario(&self) -> Scenario {
         Scenario {
             fleet: self.fleet.clone(),
             load: self.load.clone(),
@@ -125,39 +133,39 @@
     }
 
     /// The nodes' log filter.
-    pub fn log(&self) -> &str {
+    pub fn log_filter(&self) -> &str {
         const FEW: u32 = 16;
         let usual = if self.fleet.nodes <= FEW { "debug" } else { "info" };
-        self.run.log.as_deref().unwrap_or(usual)
+        self.run.log_filter.as_deref().unwrap_or(usual)
     }
 
     /// What makes no sense in it, with the key at fault.
-    pub fn check(&self) -> Result<(), ValidationError> {
+    pub fn validate(&self) -> Result<(), ValidationError> {
         let problem = |key: &str, text: String| Err(ValidationError { key: key.to_owned(), message: text });
         let run = &self.run;
-        let most = if run.on == On::Sockets { MOST_SOCKET_SECONDS } else { MAX_RUN_SECONDS };
-        if !(0.5..=most).contains(&run.seconds) {
+        let most = if run.mode == Mode::Sockets { MAX_SOCKET_RUN_SECONDS } else { MAX_RUN_SECONDS };
+        if !(0.5..=most).contains(&run.duration_s) {
             return problem("run.seconds", format!("0.5 to {most} is wanted"));
         }
-        if !(0.1..=10_000.0).contains(&run.lateness_ms) {
+        if !(0.1..=10_000.0).contains(&run.max_lateness_ms) {
             return problem("run.lateness_ms", "0.1 to 10000 is wanted".into());
         }
-        if !(1.0..=60_000.0).contains(&run.slack_ms) {
+        if !(1.0..=60_000.0).contains(&run.tolerance_ms) {
             return problem("run.slack_ms", "1 to 60000 is wanted".into());
         }
-        if !(0.1..=600.0).contains(&run.ready_s) {
+        if !(0.1..=600.0).contains(&run.ready_timeout_s) {
             return problem("run.ready_s", "0.1 to 600 is wanted".into());
         }
-        if !(16..=65_536).contains(&run.memory_mb) {
+        if !(16..=65_536).contains(&run.max_memory_mib) {
             return problem("run.memory_mb", "16 to 65536 is wanted".into());
         }
-        if !(32..=65_536).contains(&run.sockets) {
+        if !(32..=65_536).contains(&run.max_descriptors) {
             return problem("run.sockets", "32 to 65536 is wanted".into());
         }
         if !(0.0..=1000.0).contains(&run.tick_ms) {
             return problem("run.tick_ms", "0 to 1000 is wanted".into());
         }
-        if run.on == On::Virtual && self.registry.replicas > 0 {
+        if run.mode == Mode::Virtual && self.registry.replicas > 0 {
             return problem("registry.replicas", "virtual time has no processes: play it on sockets".into());
         }
         for (number, fault) in self.fault.iter().enumerate() {
@@ -183,13 +191,13 @@
                 let text = "concerns the stand-in of the list service, and this fleet has its own registry";
                 return problem(&format!("fault[{number}].what"), text.to_owned());
             }
-            if run.on == On::Virtual
+            if run.mode == Mode::Virtual
                 && matches!(fault.kind, FaultKind::MoveDiscovery | FaultKind::RudeClients)
             {
                 let text = "virtual time has neither addresses nor parsers: play it on sockets".to_owned();
                 return problem(&format!("fault[{number}].what"), text);
             }
         }
-        self.plan().validate()
+        self.scenario().validate()
     }
 }
--- a/rig/src/nodes.rs
+++ b/rig/src/nodes.rs
@@ -17,10 +17,10 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout};
 
+use crate::cleanup::{CleanupProcess, signal};
 use crate::fleet_file::FleetFile;
-use crate::keeper::{Keeper, signal};
 use crate::listener::ReservedPort;
-use crate::process::{Ended, Holds, Process};
+use crate::process::{Ended, Process, ResourceUsage};
 use crate::shared::{Shared, lock};
 
 /// How often a node that starts is looked at.
@@ -55,7 +55,7 @@
     },
     /// It ended by itself.
     #[error("{name} ended at its start ({status}); its log ends with: {tail}")]
-    Ended {
+    Exited {
         /// Its name.
         name: String,
         /// How.
@@ -65,7 +65,7 @@
     },
     /// It never became ready.
     #[error("{name} was not ready after {seconds} s; its log ends with: {tail}")]
-    NeverReady {
+    ReadyTimeout {
         /// Its name.
         name: String,
         /// How long it was waited for.
@@ -76,23 +76,23 @@
 }
 
 /// What starts nodes.
-pub struct Program {
+pub struct LaunchConfig {
     /// The node's program.
-    pub binary: PathBuf,
+    pub node_binary: PathBuf,
     /// Where its logs go.
-    pub logs: PathBuf,
+    pub log_dir: PathBuf,
     /// Where its configurations go.
-    pub configs: PathBuf,
+    pub config_dir: PathBuf,
     /// Its log filter.
-    pub filter: String,
+    pub log_filter: String,
     /// A node that is not ready by then never will be.
-    pub patience: Duration,
+    pub ready_timeout: Duration,
     /// Most descriptors, as it is told.
-    pub sockets: u64,
+    pub max_descriptors: u64,
     /// Most memory, as it is told.
-    pub memory_mb: u64,
+    pub max_memory_mib: u64,
     /// Who ends it if the rig can't.
-    pub keeper: Option<Keeper>,
+    pub cleanup: Option<CleanupProcess>,
 }
 
 /// One node.
@@ -101,10 +101,10 @@
     pub number: usize,
     /// Its name.
     pub name: String,
-    program: Arc<Program>,
+    launch: Arc<LaunchConfig>,
     shared: Arc<Shared>,
     process: Process,
-    at: Mutex<Option<SocketAddr>>,
+    address: Mutex<Option<SocketAddr>>,
     /// Its port is its own also while it is down.
     port: Mutex<Option<ReservedPort>>,
     /// Its fleet file, if it has one.
@@ -114,16 +114,21 @@
 
 impl NodeProcess {
     /// A node that has not started yet.
-    pub fn new(program: Arc<Program>, shared: Arc<Shared>, number: usize, fleet: Option<FleetFile>) -> Self {
+    pub fn new(
+        launch: Arc<LaunchConfig>,
+        shared: Arc<Shared>,
+        number: usize,
+        fleet: Option<FleetFile>,
+    ) -> Self {
         let name = shared.world.nodes[number].name.clone();
-        let process = Process::new(program.clone());
-        let (at, port, starts) = Default::default();
-        Self { number, name, program, shared, process, at, port, fleet, starts }
+        let process = Process::new(launch.clone());
+        let (address, port, starts) = Default::default();
+        Self { number, name, launch, shared, process, address, port, fleet, starts }
     }
 
     /// Where it listens, once it has.
-    pub fn at(&self) -> Option<SocketAddr> {
-        *lock(&self.at)
+    pub fn address(&self) -> Option<SocketAddr> {
+        *lock(&self.address)
     }
 
     /// Its process's number, while there is one.
@@ -132,17 +137,17 @@
     }
 
     /// Its log.
-    pub fn log(&self) -> PathBuf {
-        self.program.logs.join(format!("{}.log", self.name))
+    pub fn log_file(&self) -> PathBuf {
+        self.launch.log_dir.join(format!("{}.log", self.name))
     }
 
     fn config(&self) -> PathBuf {
-        self.program.configs.join(format!("{}.json", self.name))
+        self.launch.config_dir.join(format!("{}.json", self.name))
     }
 
     /// Starts it and waits until it is ready. It takes the address that it had in its last life.
     pub async fn start(&self, discovery: SocketAddr, known: Value) -> Result<(), NodeError> {
-        let (name, file) = (&self.name, self.log());
+        let (name, file) = (&self.name, self.log_file());
         let started = {
             let mut starts = lock(&self.starts);
             *starts += 1;
@@ -152,7 +157,7 @@
         let seed = seed_of(&self.shared, self.number, started);
         let config = json!({"name": name, "listen": listen.to_string(), "discovery": discovery.to_string(),
             "seed": format!("{seed:016x}"), "known": known,
-            "limits": {"cores": 1.0, "memory_mb": self.program.memory_mb, "sockets": self.program.sockets},
+            "limits": {"cores": 1.0, "memory_mb": self.launch.max_memory_mib, "sockets": self.launch.max_descriptors},
             "settings": self.shared.world.settings(self.shared.world.nodes[self.number].zone)});
         let of_file = |file: &Path| {
             let file = file.display().to_string();
@@ -162,7 +167,7 @@
         let mut log = OpenOptions::new().create(true).append(true).open(&file).map_err(of_file(&file))?;
         let begins = log.seek(SeekFrom::End(0)).map_err(of_file(&file))?;
         let errors = log.try_clone().map_err(of_file(&file))?;
-        let mut command = Command::new(&self.program.binary);
+        let mut command = Command::new(&self.launch.node_binary);
         if let Some(fleet) = &self.fleet {
             command.env("EDGE_FLEET", fleet.path());
         }
@@ -172,7 +177,7 @@
             .env("EDGE_LISTEN", listen.to_string())
             .env("EDGE_DISCOVERY", discovery.to_string())
             // Whatever else is filtered out, the line that tells its address is not.
-            .env("EDGE_LOG", format!("{},badgerpost::started=info", self.program.filter))
+            .env("EDGE_LOG", format!("{},badgerpost::started=info", self.launch.log_filter))
             .env("EDGE_LOG_FORMAT", "json")
             .env(parent_process::ENV_VAR, "stdin")
             .stdin(Stdio::piped())
@@ -180,12 +185,12 @@
             .stderr(errors)
             .spawn()
             .map_err(|source| NodeError::Start {
-                program: self.program.binary.display().to_string(),
+                program: self.launch.node_binary.display().to_string(),
                 source,
             })?;
         let pid = self.process.started(child);
         self.shared.record_event("node-started", json!({"node": name, "pid": pid, "start": started}));
-        let patience = Instant::now() + self.program.patience;
+        let patience = Instant::now() + self.launch.ready_timeout;
         let at = loop {
             if let Some(at) = self.listens(begins) {
                 break at;
@@ -193,7 +198,7 @@
             self.still_there(patience)?;
             sleep(LOOK).await;
         };
-        *lock(&self.at) = Some(at);
+        *lock(&self.address) = Some(at);
         while !is_ready(at).await {
             self.still_there(patience)?;
             sleep(LOOK).await;
@@ -213,12 +218,12 @@
 
     fn still_there(&self, patience: Instant) -> Result<(), NodeError> {
         let ended = self.process.has_ended();
-        let (name, tail) = (self.name.clone(), || tail(&self.log()));
+        let (name, tail) = (self.name.clone(), || tail(&self.log_file()));
         match ended {
-            Some(status) => Err(NodeError::Ended { name, status, tail: tail() }),
+            Some(status) => Err(NodeError::Exited { name, status, tail: tail() }),
             None if Instant::now() >= patience => {
-                let seconds = self.program.patience.as_secs_f64();
-                Err(NodeError::NeverReady { name, seconds, tail: tail() })
+                let seconds = self.launch.ready_timeout.as_secs_f64();
+                Err(NodeError::ReadyTimeout { name, seconds, tail: tail() })
             }
             None => Ok(()),
         }
@@ -226,7 +231,7 @@
 
     /// The address that this life's log tells.
     fn listens(&self, begins: u64) -> Option<SocketAddr> {
-        let mut file = File::open(self.log()).ok()?;
+        let mut file = File::open(self.log_file()).ok()?;
         file.seek(SeekFrom::Start(begins)).ok()?;
         let mut text = String::new();
         file.read_to_string(&mut text).ok()?;
@@ -235,7 +240,7 @@
     }
 
     /// Changes the address of discovery in its configuration and tells it.
-    pub fn reconfigure(&self, discovery: SocketAddr) -> Result<(), NodeError> {
+    pub fn set_discovery(&self, discovery: SocketAddr) -> Result<(), NodeError> {
         let file = || self.config().display().to_string();
         let text = std::fs::read(self.config()).map_err(|source| NodeError::File { file: file(), source })?;
         let mut config: Value = serde_json::from_slice(&text)
@@ -248,7 +253,7 @@
     }
 
     /// Writes what is ordered now into its fleet file and tells it.
-    pub fn order(&self) -> Result<(), NodeError> {
+    pub fn apply_zone_overrides(&self) -> Result<(), NodeError> {
         let Some(fleet) = &self.fleet else { return Ok(()) };
         let file = || fleet.path().display().to_string();
         fleet.update(self.shared.clock.now()).map_err(|source| NodeError::File { file: file(), source })?;
@@ -257,8 +262,8 @@
     }
 
     /// Pauses it, or lets it go on.
-    pub fn pause(&self, paused: bool) -> bool {
-        self.process.pause(paused)
+    pub fn set_paused(&self, paused: bool) -> bool {
+        self.process.set_paused(paused)
     }
 
     /// Kills it outright.
@@ -277,12 +282,12 @@
         let (code, by) = (status.code(), status.signal());
         self.shared
             .record_event("node-ended", json!({"node": self.name, "pid": pid, "code": code, "signal": by}));
-        (!told).then(|| format!("{} ended by itself ({status}): {}", self.name, tail(&self.log())))
+        (!told).then(|| format!("{} ended by itself ({status}): {}", self.name, tail(&self.log_file())))
     }
 
     /// What its process holds.
-    pub fn holds(&self) -> Option<Holds> {
-        self.process.holds()
+    pub fn resource_usage(&self) -> Option<ResourceUsage> {
+        self.process.resource_usage()
     }
 }
 
--- a/rig/src/process.rs
+++ b/rig/src/process.rs
@@ -8,8 +8,8 @@
 use rustix::process::Signal;
 use tokio::time::{Instant, sleep};
 
-use crate::keeper::signal;
-use crate::nodes::Program;
+use crate::cleanup::signal;
+use crate::nodes::LaunchConfig;
 use crate::shared::lock;
 
 /// How often one that ends is looked at.
@@ -25,7 +25,7 @@
 
 /// A process, while there is one.
 pub struct Process {
-    program: Arc<Program>,
+    launch: Arc<LaunchConfig>,
     life: Mutex<Option<Life>>,
 }
 
@@ -41,7 +41,7 @@
 
 /// How much of the machine a process holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Holds {
+pub struct ResourceUsage {
     /// Resident memory, in kibibytes.
     pub memory_kib: u64,
     /// Descriptors.
@@ -52,15 +52,15 @@
 
 impl Process {
     /// None yet.
-    pub fn new(program: Arc<Program>) -> Self {
-        Self { program, life: Mutex::default() }
+    pub fn new(launch: Arc<LaunchConfig>) -> Self {
+        Self { launch, life: Mutex::default() }
     }
 
     /// A life has begun; the keeper is told its number.
     pub fn started(&self, child: Child) -> u32 {
         let pid = child.id();
-        if let Some(keeper) = &self.program.keeper {
-            keeper.started(pid);
+        if let Some(cleanup) = &self.launch.cleanup {
+            cleanup.add_process(pid);
         }
         *lock(&self.life) = Some(Life { child, told: false });
         pid
@@ -83,14 +83,14 @@
         let Life { child, told } = life.take()?;
         drop(life);
         let pid = child.id();
-        if let Some(keeper) = &self.program.keeper {
-            keeper.ended(pid);
+        if let Some(cleanup) = &self.launch.cleanup {
+            cleanup.remove_process(pid);
         }
         Some(Ended { pid, status, told })
     }
 
     /// Pauses it, or lets it go on.
-    pub fn pause(&self, paused: bool) -> bool {
+    pub fn set_paused(&self, paused: bool) -> bool {
         self.pid().is_some_and(|pid| signal(pid, if paused { Signal::STOP } else { Signal::CONT }))
     }
 
@@ -120,13 +120,13 @@
     }
 
     /// What it holds.
-    pub fn holds(&self) -> Option<Holds> {
-        holds(self.pid()?)
+    pub fn resource_usage(&self) -> Option<ResourceUsage> {
+        resource_usage(self.pid()?)
     }
 }
 
 /// What a process holds, as the system tells it.
-fn holds(pid: u32) -> Option<Holds> {
+fn resource_usage(pid: u32) -> Option<ResourceUsage> {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
     let memory = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
     let memory_kib = memory.trim().trim_end_matches("kB").trim().parse().ok()?;
@@ -134,5 +134,5 @@
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     let fields: Vec<&str> = stat.rsplit_once(") ")?.1.split(' ').collect();
     let ticks = |at: usize| fields.get(at).and_then(|field| field.parse::<u64>().ok()).unwrap_or(0);
-    Some(Holds { memory_kib, descriptors, cpu_ticks: ticks(11) + ticks(12) })
+    Some(ResourceUsage { memory_kib, descriptors, cpu_ticks: ticks(11) + ticks(12) })
 }
--- a/rig/src/rank.rs
+++ b/rig/src/rank.rs
@@ -29,9 +29,9 @@
     /// The seed.
     pub seed: u64,
     /// Share of the worth that was earned.
-    pub worth: f64,
+    pub value_share: f64,
     /// Rules broken.
-    pub broken: u64,
+    pub violations: u64,
 }
 
 /// Plays a build on one world.
@@ -43,8 +43,8 @@
     let (name, of) = &experiments[experiment];
     let tick = if of.run.tick_ms > 0.0 { of.run.tick_ms } else { TICK_MS };
     let options =
-        SimulationOptions { load_duration: seconds(of.run.seconds), tick: millis(tick), threads: 1 };
-    let plan = of.plan();
+        SimulationOptions { load_duration: seconds(of.run.duration_s), tick: millis(tick), threads: 1 };
+    let plan = of.scenario();
     let world = flaxdale_model::world::World::sample(&plan, seed);
     let command = builds[build].command.clone();
     let module = |_| -> Result<Box<dyn BalancerSet>, String> {
@@ -56,9 +56,9 @@
     let tell = |problem| format!("{} on {name}, seed {seed}: {problem}", builds[build].name);
     let played = simulate_with(&plan, seed, options, module).map_err(tell)?;
     let total = played.stats.total();
-    let broken = played.invariants.reports().iter().map(|rule| rule.violated).sum();
-    let worth = if total.value > 0.0 { total.earned_value / total.value } else { 0.0 };
-    Ok(Score { build, experiment, seed, worth, broken })
+    let violations = played.invariants.reports().iter().map(|rule| rule.violated).sum();
+    let value_share = if total.value > 0.0 { total.earned_value / total.value } else { 0.0 };
+    Ok(Score { build, experiment, seed, value_share, violations })
 }
 
 /// The ranks of some figures, the largest first and equal ones in the middle of their ranks.
--- a/rig/src/rank/tests.rs
+++ b/rig/src/rank/tests.rs
@@ -19,11 +19,11 @@
 #[test]
 fn a_build_is_scored_on_this_program_s_own_decisions() {
     let mut experiment = Experiment::default();
-    experiment.run.seconds = 5.0;
+    experiment.run.duration_s = 5.0;
     let (experiments, builds) =
         ([("calm".to_owned(), experiment)], [Build { name: "own".into(), command: None }]);
     let score = score(&experiments, &builds, (0, 0, 1)).expect("played");
-    assert!(score.worth > 0.9 && score.broken == 0, "{score:?}");
+    assert!(score.value_share > 0.9 && score.violations == 0, "{score:?}");
     let wrong = [Build { name: "none".into(), command: Some("/bin/false".into()) }];
     assert!(super::score(&experiments, &wrong, (0, 0, 1)).expect_err("no adapter").contains("none on calm"));
 }
--- a/rig/src/registry.rs
+++ b/rig/src/registry.rs
@@ -16,7 +16,7 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-use crate::nodes::Program;
+use crate::nodes::LaunchConfig;
 use crate::registrants::Registrants;
 use crate::relay::Relay;
 use crate::replicas::Replicas;
@@ -77,14 +77,14 @@
     pub fn prepare(
         plan: &Plan,
         binary: PathBuf,
-        program: Arc<Program>,
+        launch: Arc<LaunchConfig>,
         shared: Arc<Shared>,
         folder: &Path,
         servers: &[Arc<AppServer>],
         touched: impl Fn(LinkEnd, LinkEnd) -> bool,
     ) -> std::io::Result<Arc<Self>> {
         let between = |one, other| touched(LinkEnd::Replica(one), LinkEnd::Replica(other));
-        let replicas = Replicas::prepare(binary, program, shared.clone(), plan, folder, between)?;
+        let replicas = Replicas::prepare(binary, launch, shared.clone(), plan, folder, between)?;
         let addresses: Vec<SocketAddr> = replicas.all.iter().map(|one| one.client).collect();
         let endpoints =
             servers.iter().filter(|server| server.is_up()).map(|server| server.address()).collect();
@@ -160,8 +160,8 @@
     }
 
     /// The load begins: writes, and watches in their steps.
-    pub async fn begin(self: &Arc<Self>, start: Nanos, span: Nanos) {
-        let memory = self.replicas.holds(0).map_or(0, |holds| holds.memory_kib);
+    pub async fn start_load(self: &Arc<Self>, start: Nanos, span: Nanos) {
+        let memory = self.replicas.resource_usage(0).map_or(0, |usage| usage.memory_kib);
         *lock(&self.first) = (self.read().await, memory);
         tokio::spawn(self.registrants.clone().write(self.stop.subscribe()));
         if !self.plan.watcher_steps.is_empty() {
@@ -183,7 +183,7 @@
             }
             let (from, to) = (self.shared.clock.now(), start + number * part);
             self.shared.clock.sleep_until(to).await;
-            let memory_kib = self.replicas.holds(0).map_or(0, |holds| holds.memory_kib);
+            let memory_kib = self.replicas.resource_usage(0).map_or(0, |usage| usage.memory_kib);
             lock(&self.stages).push(Stage { watches, from, to, memory_kib });
         }
     }
@@ -191,7 +191,7 @@
     async fn read(&self) -> Reading {
         let mut all = Reading { at: self.shared.clock.now(), ..Reading::default() };
         for at in 0..self.replicas.all.len() {
-            all.cpu_ticks += self.replicas.holds(at).map_or(0, |holds| holds.cpu_ticks);
+            all.cpu_ticks += self.replicas.resource_usage(at).map_or(0, |usage| usage.cpu_ticks);
             all.entries += self.replicas.figure(at, "log_entries_total").await.unwrap_or(0.0);
             all.rounds += self.replicas.figure(at, "confirmations_total").await.unwrap_or(0.0);
             all.renewals += self.replicas.figure(at, "renewals_total").await.unwrap_or(0.0);
@@ -200,7 +200,7 @@
     }
 
     /// Plays a fault that concerns a replica.
-    pub async fn act(&self, act: FaultAction, begins: bool) {
+    pub async fn apply_fault(&self, act: FaultAction, begins: bool) {
         let who = match act {
             FaultAction::KillReplica(who)
             | FaultAction::PauseReplica(who)
@@ -216,7 +216,7 @@
         let name = self.replicas.all[at].name.clone();
         self.shared.record_event("replica-harmed", json!({"replica": name, "begins": begins}));
         match (&act, begins) {
-            (FaultAction::PauseReplica(_), _) => drop(self.replicas.pause(at, begins)),
+            (FaultAction::PauseReplica(_), _) => drop(self.replicas.set_paused(at, begins)),
             (FaultAction::KillReplica(_), true) => self.replicas.kill(at, true).await,
             (FaultAction::LoseReplica(_), true) => self.replicas.kill(at, false).await,
             _ => {
@@ -256,7 +256,7 @@
     }
 
     /// Looks whether a process has ended by itself.
-    pub fn look_at(&self) {
+    pub fn check_processes(&self) {
         for at in 0..self.replicas.all.len() {
             if let Some(how) = self.replicas.reap(at) {
                 self.shared.record_violation(Rule::ProcessesEnded, self.replicas.all[at].name.clone(), how);
@@ -265,7 +265,7 @@
     }
 
     /// The load is over: holds the rules on what the registry told, and tells what it came to.
-    pub async fn settle(&self) -> BTreeMap<String, f64> {
+    pub async fn finish(&self) -> BTreeMap<String, f64> {
         let last = self.read().await;
         self.stop.send_replace(true);
         self.watchers.settle().await;
@@ -312,7 +312,7 @@
     }
 
     /// Ends every process, and holds that each ended as it was told to.
-    pub async fn end(&self) {
+    pub async fn stop(&self) {
         for at in 0..self.replicas.all.len() {
             if self.replicas.pid(at).is_none() {
                 continue;
--- a/rig/src/replicas.rs
+++ b/rig/src/replicas.rs
@@ -17,8 +17,8 @@
 use tokio::time::{Instant, sleep};
 
 use crate::listener::ReservedPort;
-use crate::nodes::Program;
-use crate::process::{Ended, Holds, Process};
+use crate::nodes::LaunchConfig;
+use crate::process::{Ended, Process, ResourceUsage};
 use crate::relay::Relay;
 use crate::shared::Shared;
 
@@ -53,7 +53,7 @@
     /// does.
     pub fn prepare(
         binary: PathBuf,
-        program: Arc<Program>,
+        launch: Arc<LaunchConfig>,
         shared: Arc<Shared>,
         plan: &Registry,
         folder: &Path,
@@ -81,10 +81,10 @@
                 "replicas": peers.iter().map(SocketAddr::to_string).collect::<Vec<_>>(),
                 "data": data.display().to_string(), "lease_ms": plan.lease_ms as u64,
                 "snapshot_every": plan.snapshot_every, "via": via});
-            let config = program.configs.join(format!("{name}.toml"));
+            let config = launch.config_dir.join(format!("{name}.toml"));
             let text = toml::to_string(&settings).map_err(std::io::Error::other)?;
             std::fs::write(&config, text)?;
-            let (log, process) = (program.logs.join(format!("{name}.log")), Process::new(program.clone()));
+            let (log, process) = (launch.log_dir.join(format!("{name}.log")), Process::new(launch.clone()));
             all.push(Replica { name, client, config, data, log, process, _ports: ports });
         }
         Ok(Self { all, binary, shared })
@@ -163,13 +163,13 @@
     }
 
     /// What its process holds.
-    pub fn holds(&self, at: usize) -> Option<Holds> {
-        self.all[at].process.holds()
+    pub fn resource_usage(&self, at: usize) -> Option<ResourceUsage> {
+        self.all[at].process.resource_usage()
     }
 
     /// Pauses one, or lets it go on.
-    pub fn pause(&self, at: usize, paused: bool) -> bool {
-        self.all[at].process.pause(paused)
+    pub fn set_paused(&self, at: usize, paused: bool) -> bool {
+        self.all[at].process.set_paused(paused)
     }
 
     /// Kills one outright; its store stays, or goes with it.
@@ -185,7 +185,7 @@
 
     /// Tells one to end, and waits until it has. Whether it did so by itself.
     pub async fn stop(&self, at: usize) -> bool {
-        self.pause(at, false);
+        self.set_paused(at, false);
         self.all[at].process.stop(|| drop(self.reap(at))).await
     }
 
--- a/rig/src/report.rs
+++ b/rig/src/report.rs
@@ -6,7 +6,7 @@
 use plotters::prelude::*;
 
 use crate::compare::Comparison;
-use crate::result::{Moment, RunResult, Verdict};
+use crate::result::{RunResult, SecondStats, Verdict};
 
 const SIZE: (u32, u32) = (860, 300);
 
@@ -36,15 +36,15 @@
 }
 
 fn faults_over(result: &RunResult, end: f64) -> Vec<(f64, f64)> {
-    result.faults.iter().map(|fault| (fault.from_s.min(end), fault.to_s.unwrap_or(end).min(end))).collect()
+    result.faults.iter().map(|fault| (fault.start_s.min(end), fault.end_s.unwrap_or(end).min(end))).collect()
 }
 
 /// What became of each second's requests.
 fn course(result: &RunResult) -> String {
     svg(|area| {
         area.fill(&WHITE)?;
-        let end = result.seconds.len().max(1) as f64;
-        let most = result.seconds.iter().map(|moment| moment.asked).max().unwrap_or(1).max(1) as f64;
+        let end = result.per_second.len().max(1) as f64;
+        let most = result.per_second.iter().map(|moment| moment.requests).max().unwrap_or(1).max(1) as f64;
         let mut chart = ChartBuilder::on(area)
             .margin(10)
             .margin_right(34)
@@ -64,17 +64,17 @@
             let shade = RGBColor(120, 120, 120).mix(0.12).filled();
             chart.draw_series([Rectangle::new([(from, 0.0), (to.max(from + 0.1), most * 1.05)], shade)])?;
         }
-        type Of = fn(&Moment) -> u64;
+        type Of = fn(&SecondStats) -> u64;
         let lines: [(&str, RGBColor, Of); 5] = [
-            ("asked", RGBColor(60, 60, 60), |m| m.asked),
+            ("asked", RGBColor(60, 60, 60), |m| m.requests),
             ("in time", RGBColor(20, 130, 70), |m| m.in_time),
             ("late", RGBColor(210, 140, 0), |m| m.late),
-            ("refused", RGBColor(40, 90, 180), |m| m.refused),
+            ("refused", RGBColor(40, 90, 180), |m| m.rejected),
             ("failed", RGBColor(190, 30, 30), |m| m.failed),
         ];
         for (name, color, of) in lines {
             let points =
-                result.seconds.iter().enumerate().map(|(at, moment)| (at as f64 + 0.5, of(moment) as f64));
+                result.per_second.iter().enumerate().map(|(at, moment)| (at as f64 + 0.5, of(moment) as f64));
             chart
                 .draw_series(LineSeries::new(points, color.stroke_width(2)))?
                 .label(name)
@@ -93,7 +93,7 @@
 fn delays(result: &RunResult) -> String {
     svg(|area| {
         area.fill(&WHITE)?;
-        let most = result.delays.iter().map(|delay| delay.1).fold(1.0, f64::max);
+        let most = result.latency_quantiles.iter().map(|delay| delay.1).fold(1.0, f64::max);
         let nines = |share: f64| -(1.0 - share.min(0.99999)).log10();
         let mut chart = ChartBuilder::on(area)
             .margin(10)
@@ -111,7 +111,11 @@
             .x_desc("share of the served, from the moment each was due")
             .y_desc("ms")
             .draw()?;
-        let points = result.delays.iter().map(|(share, ms)| (nines(*share), *ms)).filter(|(x, _)| *x <= 4.0);
+        let points = result
+            .latency_quantiles
+            .iter()
+            .map(|(share, ms)| (nines(*share), *ms))
+            .filter(|(x, _)| *x <= 4.0);
         chart.draw_series(LineSeries::new(points, RGBColor(20, 90, 130).stroke_width(2)))?;
         Ok(())
     })
@@ -142,11 +146,13 @@
 }
 
 /// The page. `ways` are the log lines of requests that broke a rule.
-pub fn page(result: &RunResult, ways: &[(String, Vec<String>)]) -> String {
+pub fn render_html(result: &RunResult, ways: &[(String, Vec<String>)]) -> String {
     let (class, verdict) = match result.verdict {
-        Verdict::Kept => ("good", "every rule kept".to_owned()),
-        Verdict::Broken => ("bad", "a rule was broken".to_owned()),
-        Verdict::None => ("none", format!("no verdict: {}", result.reason.as_deref().unwrap_or("unknown"))),
+        Verdict::Passed => ("good", "every rule kept".to_owned()),
+        Verdict::Failed => ("bad", "a rule was broken".to_owned()),
+        Verdict::Inconclusive => {
+            ("none", format!("no verdict: {}", result.reason.as_deref().unwrap_or("unknown")))
+        }
     };
     let mut text = String::from(
         "<!doctype html><html lang=en><meta charset=utf-8><title>flaxdale rig</title><style>\
@@ -165,10 +171,10 @@
         plain(&result.question),
         plain(&verdict),
         result.seed,
-        result.seconds.len(),
-        match result.on {
-            crate::experiment::On::Sockets => "real processes and sockets",
-            crate::experiment::On::Virtual => "virtual time",
+        result.per_second.len(),
+        match result.mode {
+            crate::experiment::Mode::Sockets => "real processes and sockets",
+            crate::experiment::Mode::Virtual => "virtual time",
         },
         plain(&result.version),
         result.lateness_ms_p99
@@ -176,9 +182,9 @@
     let _ = write!(text, "<h2>What became of each second's requests</h2>{}", course(result));
     if !result.faults.is_empty() {
         text.push_str("<p>Shaded: ");
-        let told = result.faults.iter().map(|fault| match fault.to_s {
-            Some(to) => format!("{} ({:.1} to {to:.1} s)", plain(&fault.what), fault.from_s),
-            None => format!("{} (from {:.1} s)", plain(&fault.what), fault.from_s),
+        let told = result.faults.iter().map(|fault| match fault.end_s {
+            Some(to) => format!("{} ({:.1} to {to:.1} s)", plain(&fault.description), fault.start_s),
+            None => format!("{} (from {:.1} s)", plain(&fault.description), fault.start_s),
         });
         text.push_str(&told.collect::<Vec<_>>().join("; "));
         text.push_str("</p>");
@@ -200,7 +206,7 @@
 }
 
 /// A comparison as lines for a terminal.
-pub fn lines(comparison: &Comparison) -> String {
+pub fn comparison_table(comparison: &Comparison) -> String {
     let mut text = String::new();
     let pairing = if comparison.paired { "each second with its twin" } else { "each run by itself" };
     let _ = writeln!(text, "resampled in blocks of 5 s, {pairing}");
@@ -209,16 +215,16 @@
         "{:<24}{:>10}{:>10}{:>11}  {:<22}{:>7}",
         "figure", "A", "B", "B - A", "nine in ten", "sure"
     );
-    for figure in &comparison.figures {
-        let between = format!("{:+.4} to {:+.4}", figure.between.0, figure.between.1);
+    for metric in &comparison.metrics {
+        let between = format!("{:+.4} to {:+.4}", metric.interval_90.0, metric.interval_90.1);
         let _ = writeln!(
             text,
             "{:<24}{:>10.4}{:>10.4}{:>+11.4}  {between:<22}{:>6.1}%",
-            figure.name,
-            figure.a,
-            figure.b,
-            figure.b - figure.a,
-            figure.sure * 100.0
+            metric.name,
+            metric.a,
+            metric.b,
+            metric.b - metric.a,
+            metric.confidence * 100.0
         );
     }
     text
--- a/rig/src/play.rs
+++ b/rig/src/runner.rs
@@ -14,9 +14,9 @@
 use serde_json::Value;
 use tokio::sync::watch;
 
-use crate::experiment::{Experiment, On};
+use crate::experiment::{Experiment, Mode};
 use crate::report;
-use crate::result::{FILE, FORMAT, Moment, Played, RunResult, Verdict};
+use crate::result::{FILE_NAME, FORMAT_VERSION, InjectedFault, RunResult, SecondStats, Verdict};
 use crate::shared::lock;
 use crate::sockets::{self, Progress, RunError, RunOptions, SocketRunResult};
 
@@ -25,7 +25,7 @@
 const MOST_LINES: usize = 200;
 
 /// What is to be played, and where it leaves its results.
-pub struct Order {
+pub struct RunSpec {
     /// The experiment's name.
     pub name: String,
     /// The experiment.
@@ -35,19 +35,19 @@
     /// A folder that exists.
     pub folder: PathBuf,
     /// The node's program.
-    pub binary: PathBuf,
+    pub node_binary: PathBuf,
     /// The program that runs replicas of the registry.
-    pub own: PathBuf,
+    pub registry_binary: PathBuf,
     /// This program, asked to run the keeper.
-    pub keeper: Option<Command>,
+    pub cleanup_command: Option<Command>,
 }
 
 /// Why an experiment came to nothing.
 #[derive(Debug, thiserror::Error)]
-pub enum PlayError {
+pub enum ExperimentError {
     /// It could not be played.
     #[error(transparent)]
-    Run(#[from] RunError),
+    Sockets(#[from] RunError),
     /// It could not be played in virtual time.
     #[error("virtual time: {0}")]
     Virtual(String),
@@ -62,44 +62,44 @@
 }
 
 /// Plays an experiment and writes `result.json`, `events.jsonl`, `report.html` and the logs into its folder.
-pub async fn play(
-    order: Order,
+pub async fn run(
+    spec: RunSpec,
     stop: watch::Receiver<bool>,
     progress: impl Fn(&Progress) + Send + 'static,
-) -> Result<RunResult, PlayError> {
-    let folder = order.folder.clone();
-    let (result, events) = match order.experiment.run.on {
-        On::Virtual => (virtually(&order)?, Vec::new()),
-        On::Sockets => on_sockets(order, stop, progress).await?,
+) -> Result<RunResult, ExperimentError> {
+    let folder = spec.folder.clone();
+    let (result, events) = match spec.experiment.run.mode {
+        Mode::Virtual => (virtually(&spec)?, Vec::new()),
+        Mode::Sockets => on_sockets(spec, stop, progress).await?,
     };
     let ways = ways(&folder, &result.invariants);
     let text = serde_json::to_string_pretty(&result).unwrap_or_default();
-    write(&folder.join(FILE), &text)?;
+    write(&folder.join(FILE_NAME), &text)?;
     let lines: Vec<String> = events.iter().map(Value::to_string).collect();
     write(&folder.join("events.jsonl"), &(lines.join("\n") + "\n"))?;
-    write(&folder.join("report.html"), &report::page(&result, &ways))?;
+    write(&folder.join("report.html"), &report::render_html(&result, &ways))?;
     Ok(result)
 }
 
-fn write(file: &Path, text: &str) -> Result<(), PlayError> {
+fn write(file: &Path, text: &str) -> Result<(), ExperimentError> {
     let done = std::fs::File::create(file).and_then(|mut file| file.write_all(text.as_bytes()));
-    done.map_err(|source| PlayError::Write { file: file.to_owned(), source })
+    done.map_err(|source| ExperimentError::Write { file: file.to_owned(), source })
 }
 
 async fn on_sockets(
-    order: Order,
+    spec: RunSpec,
     stop: watch::Receiver<bool>,
     progress: impl Fn(&Progress) + Send + 'static,
-) -> Result<(RunResult, Vec<Value>), PlayError> {
-    let version = version(Some(&order.binary));
-    let (experiment, seed, name) = (order.experiment, order.seed, order.name);
+) -> Result<(RunResult, Vec<Value>), ExperimentError> {
+    let version = version(Some(&spec.node_binary));
+    let (experiment, seed, name) = (spec.experiment, spec.seed, spec.name);
     let stage = RunOptions {
         experiment: experiment.clone(),
         seed,
-        node_binary: order.binary,
-        registry_binary: order.own,
-        folder: order.folder,
-        keeper: order.keeper,
+        node_binary: spec.node_binary,
+        registry_binary: spec.registry_binary,
+        folder: spec.folder,
+        keeper: spec.cleanup_command,
         remove_folder: false,
         until_stopped: false,
     };
@@ -133,42 +133,43 @@
     }
     measures.extend(ran.registry_measures.clone());
     let invariants = lock(&shared.tracker).invariants.reports().to_vec();
-    let late = lateness > experiment.run.lateness_ms;
+    let late = lateness > experiment.run.max_lateness_ms;
     let reason = if late {
         Some(format!(
             "the rig was {lateness:.1} ms late at the 99th percentile, past {}",
-            experiment.run.lateness_ms
+            experiment.run.max_lateness_ms
         ))
     } else if ran.requests_dropped > 0 {
         Some(format!("the rig had no room for {} requests", ran.requests_dropped))
     } else {
         None
     };
-    let about = About { name, seed, version, on: On::Sockets, reason, lateness };
+    let about = About { name, seed, version, mode: Mode::Sockets, reason, lateness };
     result_of(about, &shared.world, &tally, invariants, measures, experiment)
 }
 
-fn virtually(order: &Order) -> Result<RunResult, PlayError> {
-    let experiment = &order.experiment;
+fn virtually(spec: &RunSpec) -> Result<RunResult, ExperimentError> {
+    let experiment = &spec.experiment;
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     let options = SimulationOptions {
-        load_duration: seconds(experiment.run.seconds),
+        load_duration: seconds(experiment.run.duration_s),
         tick: millis(experiment.run.tick_ms),
         threads,
     };
     let began = Instant::now();
-    let played = simulation::simulate(&experiment.plan(), order.seed, options).map_err(PlayError::Virtual)?;
+    let played =
+        simulation::simulate(&experiment.scenario(), spec.seed, options).map_err(ExperimentError::Virtual)?;
     let took = began.elapsed().as_secs_f64().max(1e-9);
     let mut measures = played.measures();
     measures.insert("real_s".to_owned(), took);
-    measures.insert("times_real_time".to_owned(), experiment.run.seconds / took);
+    measures.insert("times_real_time".to_owned(), experiment.run.duration_s / took);
     measures.insert("requests_per_real_s".to_owned(), played.stats.total().requests as f64 / took);
     measures.insert("events_per_real_s".to_owned(), played.events as f64 / took);
     let about = About {
-        name: order.name.clone(),
-        seed: order.seed,
+        name: spec.name.clone(),
+        seed: spec.seed,
         version: version(None),
-        on: On::Virtual,
+        mode: Mode::Virtual,
         reason: None,
         lateness: 0.0,
     };
@@ -180,7 +181,7 @@
     name: String,
     seed: u64,
     version: String,
-    on: On,
+    mode: Mode,
     reason: Option<String>,
     lateness: f64,
 }
@@ -196,38 +197,42 @@
     let broken = invariants.iter().any(|rule| rule.violated > 0);
     let verdict = match (&about.reason, broken) {
         // A rig that was late may itself have broken what it saw broken.
-        (Some(_), _) => Verdict::None,
-        (None, true) => Verdict::Broken,
-        (None, false) => Verdict::Kept,
+        (Some(_), _) => Verdict::Inconclusive,
+        (None, true) => Verdict::Failed,
+        (None, false) => Verdict::Passed,
     };
     const SHARES: [f64; 14] =
         [0.0, 0.1, 0.25, 0.5, 0.75, 0.9, 0.95, 0.97, 0.99, 0.995, 0.998, 0.999, 0.9995, 0.9999];
     let delay = |share: f64| (share, tally.served_latency.value_at_quantile(share) as f64 / 1000.0);
-    let plan: Scenario = experiment.plan();
+    let scenario: Scenario = experiment.scenario();
     RunResult {
-        format: FORMAT,
+        format: FORMAT_VERSION,
         experiment: about.name,
         question: experiment.question.clone(),
         seed: about.seed,
         version: about.version,
-        on: about.on,
+        mode: about.mode,
         verdict,
         reason: about.reason,
         invariants,
         measures,
         lateness_ms_p99: about.lateness,
-        seconds: tally.per_second.iter().map(Moment::from).collect(),
-        delays: if tally.served_latency.is_empty() { Vec::new() } else { SHARES.map(delay).to_vec() },
+        per_second: tally.per_second.iter().map(SecondStats::from).collect(),
+        latency_quantiles: if tally.served_latency.is_empty() {
+            Vec::new()
+        } else {
+            SHARES.map(delay).to_vec()
+        },
         faults: world
             .faults
             .iter()
-            .map(|step| Played {
-                what: format!("{:?}", step.action),
-                from_s: step.at as f64 / 1e9,
-                to_s: step.until.map(|until| until as f64 / 1e9),
+            .map(|step| InjectedFault {
+                description: format!("{:?}", step.action),
+                start_s: step.at as f64 / 1e9,
+                end_s: step.until.map(|until| until as f64 / 1e9),
             })
             .collect(),
-        plan,
+        scenario,
     }
 }
 
@@ -239,7 +244,7 @@
     print.map_or_else(|| own.to_owned(), |print| format!("{own} ({print:016x})"))
 }
 
-/// The lines that the logs hold on each request that broke a rule, in the order of their times.
+/// The lines that the logs hold on each request that broke a rule, in the spec of their times.
 fn ways(folder: &Path, invariants: &[RuleReport]) -> Vec<(String, Vec<String>)> {
     let mut ids: Vec<&str> = Vec::new();
     for breach in invariants.iter().flat_map(|rule| &rule.violations) {
--- a/rig/src/sockets.rs
+++ b/rig/src/sockets.rs
@@ -24,12 +24,12 @@
 use tokio::task::JoinSet;
 use tokio::time::{interval, sleep};
 
+use crate::cleanup::CleanupProcess;
 use crate::discovery::{DiscoveryAgent, Endpoints};
 use crate::experiment::Experiment;
 use crate::fleet_file::FleetFile;
-use crate::keeper::Keeper;
 use crate::load_generator::{ANSWER_SLACK, Callers};
-use crate::nodes::{NodeError, NodeProcess, Program};
+use crate::nodes::{LaunchConfig, NodeError, NodeProcess};
 use crate::registry::Registry;
 use crate::relay::{MAX_LINKS, Relay, ZonedEnd};
 use crate::servers::{AppServer, InitialState};
@@ -155,10 +155,10 @@
 ) -> Result<SocketRunResult, RunError> {
     let setup_error = |resource| move |source| RunError::Setup { resource, source };
     let experiment = &stage.experiment;
-    let plan = experiment.plan();
+    let plan = experiment.scenario();
     let world = World::sample(&plan, stage.seed);
     let clock = Clock::start();
-    let slack = millis(experiment.run.slack_ms);
+    let slack = millis(experiment.run.tolerance_ms);
     let limits = Tolerances {
         answer_slack: ANSWER_SLACK + slack,
         drain_grace: world.rules.drain_grace,
@@ -202,26 +202,26 @@
         discovery.push(found);
         agents.push(agent);
     }
-    let keeper = match stage.keeper {
-        Some(command) => Some(Keeper::start(command).map_err(setup_error("the keeper's process"))?),
+    let cleanup = match stage.keeper {
+        Some(command) => Some(CleanupProcess::start(command).map_err(setup_error("the keeper's process"))?),
         None => None,
     };
-    if let Some(keeper) = keeper.as_ref().filter(|_| stage.remove_folder) {
-        keeper.made(&stage.folder);
+    if let Some(cleanup) = cleanup.as_ref().filter(|_| stage.remove_folder) {
+        cleanup.add_folder(&stage.folder);
     }
     let (logs, configs) = (stage.folder.join("logs"), stage.folder.join("configs"));
     for folder in [&logs, &configs] {
         std::fs::create_dir_all(folder).map_err(setup_error("a folder for logs"))?;
     }
-    let program = Arc::new(Program {
-        binary: stage.node_binary,
-        logs,
-        configs: configs.clone(),
-        filter: experiment.log().to_owned(),
-        patience: Duration::from_secs_f64(experiment.run.ready_s),
-        sockets: experiment.run.sockets,
-        memory_mb: experiment.run.memory_mb,
-        keeper,
+    let launch = Arc::new(LaunchConfig {
+        node_binary: stage.node_binary,
+        log_dir: logs,
+        config_dir: configs.clone(),
+        log_filter: experiment.log_filter().to_owned(),
+        ready_timeout: Duration::from_secs_f64(experiment.run.ready_timeout_s),
+        max_descriptors: experiment.run.max_descriptors,
+        max_memory_mib: experiment.run.max_memory_mib,
+        cleanup,
     });
     let zone_of = |party: LinkEnd| match party {
         LinkEnd::Node(node) => shared.world.nodes[node].zone,
@@ -231,11 +231,11 @@
         faulted.iter().any(|fault| fault.concerns((one, zone_of(one)), (other, zone_of(other))))
     };
     let registry = if plan.registry.replicas > 0 {
-        let (plan, program, folder) = (&plan.registry, program.clone(), &stage.folder);
+        let (plan, launch, folder) = (&plan.registry, launch.clone(), &stage.folder);
         let prepared = Registry::prepare(
             plan,
             stage.registry_binary,
-            program,
+            launch,
             shared.clone(),
             folder,
             &servers,
@@ -256,7 +256,7 @@
         } else {
             None
         };
-        nodes.push(Arc::new(NodeProcess::new(program.clone(), shared.clone(), number, fleet)));
+        nodes.push(Arc::new(NodeProcess::new(launch.clone(), shared.clone(), number, fleet)));
     }
     let notice = FRONT_NOTICE.interpolate(rng_stream(shared.world.seed, 12).random());
     let run = Arc::new(Run {
@@ -269,14 +269,14 @@
         most_memory: AtomicU64::new(0),
         most_descriptors: AtomicU64::new(0),
         cpu: nodes.iter().map(|_| AtomicU64::new(0)).collect(),
-        bounds: (experiment.run.memory_mb * 1024, experiment.run.sockets),
+        bounds: (experiment.run.max_memory_mib * 1024, experiment.run.max_descriptors),
         nodes,
         shared: shared.clone(),
     });
     if let Some(registry) = &run.registry {
-        let patience = Duration::from_secs_f64(experiment.run.ready_s);
+        let patience = Duration::from_secs_f64(experiment.run.ready_timeout_s);
         if let Err(problem) = registry.start(&run.servers, patience).await {
-            registry.end().await;
+            registry.stop().await;
             return Err(RunError::Registry(problem));
         }
     }
@@ -287,14 +287,14 @@
     let start = clock.now() + LEAD;
     shared.start_load(start, InvariantChecker::new(limits, start));
     run.callers.begin(start);
-    let span = if stage.until_stopped { Nanos::MAX / 4 } else { seconds(experiment.run.seconds) };
+    let span = if stage.until_stopped { Nanos::MAX / 4 } else { seconds(experiment.run.duration_s) };
     if let Some(registry) = &run.registry {
-        registry.begin(start, span).await;
+        registry.start_load(start, span).await;
     }
     run.clone().carry(start.saturating_add(span), stop, progress).await;
     let load_s = shared.run_time_ms(clock.now()) / 1000.0;
     let registry = match &run.registry {
-        Some(registry) => registry.settle().await,
+        Some(registry) => registry.finish().await,
         None => BTreeMap::new(),
     };
     run.end_all().await;
@@ -385,7 +385,7 @@
         let at = if agent.has_moved() { agent.address() } else { self.discovery[node] };
         self.nodes[node].start(at, known).await?;
         let place = &self.callers.places[node];
-        *lock(&place.at) = self.nodes[node].at();
+        *lock(&place.at) = self.nodes[node].address();
         place.open.store(true, Ordering::Relaxed);
         Ok(())
     }
@@ -398,7 +398,7 @@
             ending.spawn(async move {
                 run.look_at(&node);
                 // A paused process can't end.
-                node.pause(false);
+                node.set_paused(false);
                 if node.pid().is_some() {
                     lock(&run.shared.tracker).invariants.record_check(Rule::ProcessesEnded);
                     if !node.stop().await {
@@ -410,7 +410,7 @@
         }
         while ending.join_next().await.is_some() {}
         if let Some(registry) = &self.registry {
-            registry.end().await;
+            registry.stop().await;
         }
         let left: Vec<u32> = self.nodes.iter().filter_map(|node| node.pid()).collect();
         for pid in left {
@@ -453,7 +453,7 @@
             for node in &self.nodes {
                 self.look_at(node);
             }
-            self.registry.iter().for_each(|registry| registry.look_at());
+            self.registry.iter().for_each(|registry| registry.check_processes());
         }
     }
 
@@ -463,16 +463,16 @@
             self.shared.record_violation(Rule::ProcessesEnded, node.name.clone(), how);
             return;
         }
-        let Some(holds) = node.holds() else { return };
-        self.most_memory.fetch_max(holds.memory_kib, Ordering::Relaxed);
-        self.most_descriptors.fetch_max(holds.descriptors, Ordering::Relaxed);
-        self.cpu[node.number].fetch_max(holds.cpu_ticks, Ordering::Relaxed);
+        let Some(usage) = node.resource_usage() else { return };
+        self.most_memory.fetch_max(usage.memory_kib, Ordering::Relaxed);
+        self.most_descriptors.fetch_max(usage.descriptors, Ordering::Relaxed);
+        self.cpu[node.number].fetch_max(usage.cpu_ticks, Ordering::Relaxed);
         lock(&self.shared.tracker).invariants.record_check(Rule::ProcessBounds);
         let (memory, descriptors) = self.bounds;
-        if holds.memory_kib > memory || holds.descriptors > descriptors {
+        if usage.memory_kib > memory || usage.descriptors > descriptors {
             let what = format!(
                 "holds {} KiB and {} descriptors, of {memory} and {descriptors}",
-                holds.memory_kib, holds.descriptors
+                usage.memory_kib, usage.descriptors
             );
             self.shared.record_violation(Rule::ProcessBounds, node.name.clone(), what);
         }
@@ -578,7 +578,7 @@
                 let place = &self.callers.places[node];
                 place.paused.store(begins, Ordering::Relaxed);
                 // What came while it was paused is answered late, and that is the pause's doing.
-                if !self.nodes[node].pause(begins) {
+                if !self.nodes[node].set_paused(begins) {
                     self.shared.record_event(
                         "fault-missed",
                         json!({"node": self.nodes[node].name, "why": "not there"}),
@@ -634,7 +634,7 @@
             }
             FaultAction::OrderZone(..) => {
                 for node in &self.nodes {
-                    if let Err(error) = node.order() {
+                    if let Err(error) = node.apply_zone_overrides() {
                         self.shared.record_event(
                             "rig-trouble",
                             json!({"node": node.name, "cause": error.to_string()}),
@@ -644,14 +644,15 @@
             }
             FaultAction::KillReplica(_) | FaultAction::PauseReplica(_) | FaultAction::LoseReplica(_) => {
                 if let Some(registry) = &self.registry {
-                    registry.act(act, begins).await;
+                    registry.apply_fault(act, begins).await;
                 }
             }
             FaultAction::MoveDiscovery if begins => {
                 for (agent, node) in self.agents.iter().zip(&self.nodes) {
                     let moved = agent.relocate().map_err(|error| error.to_string());
-                    let told = moved
-                        .and_then(|()| node.reconfigure(agent.address()).map_err(|error| error.to_string()));
+                    let told = moved.and_then(|()| {
+                        node.set_discovery(agent.address()).map_err(|error| error.to_string())
+                    });
                     if let Err(cause) = told {
                         self.shared.record_event("rig-trouble", json!({"node": node.name, "cause": cause}));
                     }
