--- a/rig/src/cleanup.rs
+++ b/rig/src/cleanup.rs
@@ -1,8 +1,8 @@
-//! Sees to it that no run leaves a process or a folder behind, also when the rig itself is killed.
+//! Removes the processes and folders of a run even if the rig itself is killed.
 //!
-//! A small process of its own holds the other end of a pipe. The rig tells it each process and folder that it makes,
-//! and takes back what has ended. When the pipe ends, for whatever reason, the keeper ends what is left: by number,
-//! and only what it was told of.
+//! The rig starts a cleanup process and reports each process and folder that it creates over a pipe, as well as each
+//! process that has ended. When the pipe is closed, for whatever reason, the cleanup process kills the reported
+//! processes that are still running, by PID, and removes the reported folders.
 
 use std::io::{BufRead, Write};
 use std::path::{Path, PathBuf};
@@ -13,17 +13,17 @@
 
 use crate::shared::lock;
 
-/// The keeper as the rig holds it.
+/// The rig's handle to the cleanup process.
 pub struct CleanupProcess {
     child: Child,
     pipe: Mutex<Option<ChildStdin>>,
 }
 
 impl CleanupProcess {
-    /// Starts it: `command` is this program, asked to run [`run`].
+    /// Starts the cleanup process; `command` has to call [`run`] with its stdin.
     pub fn start(mut command: Command) -> std::io::Result<Self> {
         use std::os::unix::process::CommandExt;
-        // In a group of its own, so that a Ctrl-C at the terminal does not end it before the rig.
+        // In its own process group, so that Ctrl-C in the terminal does not end it before the rig.
         let mut child = command
             .stdin(Stdio::piped())
             .stdout(Stdio::null())
@@ -34,29 +34,29 @@
         Ok(Self { child, pipe })
     }
 
-    fn tell(&self, line: &str) {
+    fn send(&self, line: &str) {
         if let Some(pipe) = lock(&self.pipe).as_mut() {
-            // Without a keeper the run goes on: it ends its processes itself.
+            // Without a cleanup process the run continues: normally the rig ends its processes itself.
             let _ = pipe.write_all(line.as_bytes()).and_then(|()| pipe.flush());
         }
     }
 
-    /// A process was started.
+    /// Reports a process that was started.
     pub fn add_process(&self, pid: u32) {
-        self.tell(&format!("+{pid}\n"));
+        self.send(&format!("+{pid}\n"));
     }
 
-    /// A process has ended.
+    /// Reports a process that has ended.
     pub fn remove_process(&self, pid: u32) {
-        self.tell(&format!("-{pid}\n"));
+        self.send(&format!("-{pid}\n"));
     }
 
-    /// A folder that is not to outlive the run was made.
+    /// Reports a folder that has to be removed with the run.
     pub fn add_folder(&self, folder: &Path) {
-        self.tell(&format!("d{}\n", folder.display()));
+        self.send(&format!("d{}\n", folder.display()));
     }
 
-    /// Its own number.
+    /// PID of the cleanup process.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
@@ -65,43 +65,43 @@
 impl Drop for CleanupProcess {
     fn drop(&mut self) {
         lock(&self.pipe).take();
-        // It ends with its pipe.
+        // The process exits once its pipe is closed.
         let _ = self.child.wait();
     }
 }
 
-/// Sends a signal to a process by its number. Whether there was one to send it to.
+/// Sends a signal to a process; returns whether it was delivered.
 pub fn signal(pid: u32, signal: Signal) -> bool {
     i32::try_from(pid).ok().and_then(Pid::from_raw).is_some_and(|pid| kill_process(pid, signal).is_ok())
 }
 
-/// What a process is, beyond its number, which another may have after it: when it started.
-fn born(pid: u32) -> Option<String> {
+/// Start time of a process, which tells it from a later process with the same PID.
+fn start_time(pid: u32) -> Option<String> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-    // The name may hold spaces; the fields after it do not. The start is the twentieth of these.
+    // Only the process name may contain spaces; the start time is the twentieth field after it.
     stat.rsplit_once(") ")?.1.split(' ').nth(19).map(str::to_owned)
 }
 
-/// Keeps until its input ends, then ends what is left.
+/// Tracks processes and folders until the input ends, then kills and removes those that are left.
 pub fn run(input: impl BufRead) {
     let mut processes: Vec<(u32, Option<String>)> = Vec::new();
     let mut folders: Vec<PathBuf> = Vec::new();
     for line in input.lines().map_while(Result::ok) {
-        let Some((sign, rest)) = line.split_at_checked(1) else { continue };
-        match (sign, rest.parse::<u32>()) {
-            ("+", Ok(pid)) => processes.push((pid, born(pid))),
-            ("-", Ok(pid)) => processes.retain(|(known, _)| *known != pid),
+        let Some((kind, rest)) = line.split_at_checked(1) else { continue };
+        match (kind, rest.parse::<u32>()) {
+            ("+", Ok(pid)) => processes.push((pid, start_time(pid))),
+            ("-", Ok(pid)) => processes.retain(|(tracked, _)| *tracked != pid),
             ("d", _) => folders.push(PathBuf::from(rest)),
             _ => {}
         }
     }
-    for (pid, birth) in processes {
-        if birth.is_some() && born(pid) == birth {
+    for (pid, started_at) in processes {
+        if started_at.is_some() && start_time(pid) == started_at {
             signal(pid, Signal::KILL);
         }
     }
     for folder in folders {
-        // What was removed already is gone.
+        // The folder may have been removed already.
         let _ = std::fs::remove_dir_all(folder);
     }
 }
--- a/rig/src/cleanup/tests.rs
+++ b/rig/src/cleanup/tests.rs
@@ -1,37 +1,38 @@
 use super::*;
 
-fn sleeper() -> Child {
-    Command::new("/bin/sleep").arg("60").spawn().expect("started")
+fn spawn_sleep() -> Child {
+    Command::new("/bin/sleep").arg("60").spawn().expect("sleep started")
 }
 
 #[test]
-fn it_ends_what_it_was_told_of_and_has_not_been_told_back() {
-    let folder = std::env::temp_dir().join(format!("flaxdale-keeper-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("made");
-    let (mut left, mut paused, mut ended, mut other) = (sleeper(), sleeper(), sleeper(), sleeper());
+fn reported_processes_that_have_not_ended_are_killed_and_folders_are_removed() {
+    let folder = std::env::temp_dir().join(format!("flaxdale-cleanup-{}", std::process::id()));
+    std::fs::create_dir_all(&folder).expect("folder created");
+    let (mut running, mut paused, mut removed, mut unreported) =
+        (spawn_sleep(), spawn_sleep(), spawn_sleep(), spawn_sleep());
     assert!(signal(paused.id(), Signal::STOP));
-    let told = format!(
+    let reports = format!(
         "+{}\n+{}\n+{}\nrubbish\n\n-{}\nd{}\n",
-        left.id(),
+        running.id(),
         paused.id(),
-        ended.id(),
-        ended.id(),
+        removed.id(),
+        removed.id(),
         folder.display()
     );
-    run(told.as_bytes());
-    for gone in [&mut left, &mut paused] {
-        assert!(!gone.wait().expect("its end").success());
+    run(reports.as_bytes());
+    for killed in [&mut running, &mut paused] {
+        assert!(!killed.wait().expect("exit status").success());
     }
     assert!(!folder.exists());
-    for alive in [&mut ended, &mut other] {
-        assert!(alive.try_wait().expect("its state").is_none());
-        alive.kill().and_then(|()| alive.wait()).expect("ended");
+    for unaffected in [&mut removed, &mut unreported] {
+        assert!(unaffected.try_wait().expect("process state").is_none());
+        unaffected.kill().and_then(|()| unaffected.wait()).expect("process killed");
     }
 }
 
 #[test]
-fn a_number_that_another_process_has_by_now_is_left_alone() {
-    assert_eq!(born(u32::MAX), None);
-    assert_eq!(born(std::process::id()), born(std::process::id()));
-    assert!(born(std::process::id()).is_some());
+fn a_process_is_identified_by_its_start_time_besides_its_pid() {
+    assert_eq!(start_time(u32::MAX), None);
+    assert_eq!(start_time(std::process::id()), start_time(std::process::id()));
+    assert!(start_time(std::process::id()).is_some());
 }
--- a/rig/src/nodes.rs
+++ b/rig/src/nodes.rs
@@ -20,7 +20,7 @@
 use crate::cleanup::{CleanupProcess, signal};
 use crate::fleet_file::FleetFile;
 use crate::listener::ReservedPort;
-use crate::process::{Ended, Process, ResourceUsage};
+use crate::process::{Process, ProcessExit, ResourceUsage};
 use crate::shared::{Shared, lock};
 
 /// How often a node that starts is looked at.
@@ -188,7 +188,7 @@
                 program: self.launch.node_binary.display().to_string(),
                 source,
             })?;
-        let pid = self.process.started(child);
+        let pid = self.process.attach(child);
         self.shared.record_event("node-started", json!({"node": name, "pid": pid, "start": started}));
         let patience = Instant::now() + self.launch.ready_timeout;
         let at = loop {
@@ -217,7 +217,7 @@
     }
 
     fn still_there(&self, patience: Instant) -> Result<(), NodeError> {
-        let ended = self.process.has_ended();
+        let ended = self.process.exit_status();
         let (name, tail) = (self.name.clone(), || tail(&self.log_file()));
         match ended {
             Some(status) => Err(NodeError::Exited { name, status, tail: tail() }),
@@ -278,11 +278,12 @@
 
     /// Takes the end of its process, if it has ended. The text says how, for one that was not told to.
     pub fn reap(&self) -> Option<String> {
-        let Ended { pid, status, told } = self.process.reap()?;
+        let ProcessExit { pid, status, exit_requested } = self.process.reap()?;
         let (code, by) = (status.code(), status.signal());
         self.shared
             .record_event("node-ended", json!({"node": self.name, "pid": pid, "code": code, "signal": by}));
-        (!told).then(|| format!("{} ended by itself ({status}): {}", self.name, tail(&self.log_file())))
+        (!exit_requested)
+            .then(|| format!("{} ended by itself ({status}): {}", self.name, tail(&self.log_file())))
     }
 
     /// What its process holds.
--- a/rig/src/process.rs
+++ b/rig/src/process.rs
@@ -1,5 +1,5 @@
-//! A process that the rig starts and ends, life after life, by its number: what a node and a replica have in common. What
-//! an end means, and what is told of it, is its owner's.
+//! A child process of the rig that may be started and ended several times: what nodes and replicas have in common. The
+//! owner decides what an exit means and reports it.
 
 use std::process::{Child, ExitStatus};
 use std::sync::{Arc, Mutex};
@@ -12,120 +12,120 @@
 use crate::nodes::LaunchConfig;
 use crate::shared::lock;
 
-/// How often one that ends is looked at.
-const LOOK: Duration = Duration::from_millis(10);
-/// One that was told to end has this long before it is killed.
-const END_PATIENCE: Duration = Duration::from_secs(8);
+/// How often a process that should exit is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// How long a process may take to exit after a signal.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(8);
 
-struct Life {
+struct RunningChild {
     child: Child,
-    /// Wanted to end: its end is no crash.
-    told: bool,
+    /// The rig has asked it to exit, so its exit is no crash.
+    exit_requested: bool,
 }
 
-/// A process, while there is one.
+/// A process that is running or not.
 pub struct Process {
     launch: Arc<LaunchConfig>,
-    life: Mutex<Option<Life>>,
+    running: Mutex<Option<RunningChild>>,
 }
 
-/// How a life ended.
-pub struct Ended {
-    /// Its number.
+/// Exit of a process.
+pub struct ProcessExit {
+    /// PID of the process.
     pub pid: u32,
-    /// How.
+    /// Exit status.
     pub status: ExitStatus,
-    /// Whether it was told to.
-    pub told: bool,
+    /// Whether the rig has asked it to exit.
+    pub exit_requested: bool,
 }
 
-/// How much of the machine a process holds.
+/// Resources that a process uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ResourceUsage {
     /// Resident memory, in kibibytes.
     pub memory_kib: u64,
-    /// Descriptors.
+    /// Number of open file descriptors.
     pub descriptors: u64,
-    /// Processor time so far, in clock ticks of a hundredth of a second.
+    /// CPU time since its start, in clock ticks of 10 ms.
     pub cpu_ticks: u64,
 }
 
 impl Process {
-    /// None yet.
+    /// A process that has not been started.
     pub fn new(launch: Arc<LaunchConfig>) -> Self {
-        Self { launch, life: Mutex::default() }
+        Self { launch, running: Mutex::default() }
     }
 
-    /// A life has begun; the keeper is told its number.
-    pub fn started(&self, child: Child) -> u32 {
+    /// Tracks a child process that was just started and reports it to the cleanup process.
+    pub fn attach(&self, child: Child) -> u32 {
         let pid = child.id();
         if let Some(cleanup) = &self.launch.cleanup {
             cleanup.add_process(pid);
         }
-        *lock(&self.life) = Some(Life { child, told: false });
+        *lock(&self.running) = Some(RunningChild { child, exit_requested: false });
         pid
     }
 
-    /// Its number, while there is one.
+    /// PID of the process while it is running.
     pub fn pid(&self) -> Option<u32> {
-        lock(&self.life).as_ref().map(|life| life.child.id())
+        lock(&self.running).as_ref().map(|running| running.child.id())
     }
 
-    /// How it has ended, if it has and nobody has taken its end.
-    pub fn has_ended(&self) -> Option<ExitStatus> {
-        lock(&self.life).as_mut()?.child.try_wait().ok().flatten()
+    /// Exit status, if the process has exited and was not reaped yet.
+    pub fn exit_status(&self) -> Option<ExitStatus> {
+        lock(&self.running).as_mut()?.child.try_wait().ok().flatten()
     }
 
-    /// Takes its end, if it has ended.
-    pub fn reap(&self) -> Option<Ended> {
-        let mut life = lock(&self.life);
-        let status = life.as_mut()?.child.try_wait().ok().flatten()?;
-        let Life { child, told } = life.take()?;
-        drop(life);
+    /// Reaps the process if it has exited.
+    pub fn reap(&self) -> Option<ProcessExit> {
+        let mut running = lock(&self.running);
+        let status = running.as_mut()?.child.try_wait().ok().flatten()?;
+        let RunningChild { child, exit_requested } = running.take()?;
+        drop(running);
         let pid = child.id();
         if let Some(cleanup) = &self.launch.cleanup {
             cleanup.remove_process(pid);
         }
-        Some(Ended { pid, status, told })
+        Some(ProcessExit { pid, status, exit_requested })
     }
 
-    /// Pauses it, or lets it go on.
+    /// Pauses or resumes the process; returns whether the signal was delivered.
     pub fn set_paused(&self, paused: bool) -> bool {
         self.pid().is_some_and(|pid| signal(pid, if paused { Signal::STOP } else { Signal::CONT }))
     }
 
-    /// Tells it to end in this way, and waits until its owner has taken its end by `reap`. Whether that came in time.
-    pub async fn end(&self, how: Signal, reap: impl Fn()) -> bool {
-        if let Some(life) = lock(&self.life).as_mut() {
-            life.told = true;
-            signal(life.child.id(), how);
+    /// Sends a signal that ends the process and polls `reap` until it has exited. Returns false after the timeout.
+    pub async fn end(&self, exit_signal: Signal, reap: impl Fn()) -> bool {
+        if let Some(running) = lock(&self.running).as_mut() {
+            running.exit_requested = true;
+            signal(running.child.id(), exit_signal);
         }
-        let until = Instant::now() + END_PATIENCE;
+        let deadline = Instant::now() + EXIT_TIMEOUT;
         loop {
             reap();
-            if self.pid().is_none() || Instant::now() >= until {
+            if self.pid().is_none() || Instant::now() >= deadline {
                 return self.pid().is_none();
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Tells it to end, and kills it if it does not. Whether it ended by itself.
+    /// Sends SIGTERM, and SIGKILL after the timeout. Returns whether the process exited on SIGTERM.
     pub async fn stop(&self, reap: impl Fn()) -> bool {
-        let ended = self.end(Signal::TERM, &reap).await;
-        if !ended {
+        let exited = self.end(Signal::TERM, &reap).await;
+        if !exited {
             self.end(Signal::KILL, &reap).await;
         }
-        ended
+        exited
     }
 
-    /// What it holds.
+    /// Resources that the process uses now.
     pub fn resource_usage(&self) -> Option<ResourceUsage> {
         resource_usage(self.pid()?)
     }
 }
 
-/// What a process holds, as the system tells it.
+/// Reads the resource usage of a process from /proc.
 fn resource_usage(pid: u32) -> Option<ResourceUsage> {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
     let memory = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
@@ -133,6 +133,6 @@
     let descriptors = std::fs::read_dir(format!("/proc/{pid}/fd")).ok()?.count() as u64;
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     let fields: Vec<&str> = stat.rsplit_once(") ")?.1.split(' ').collect();
-    let ticks = |at: usize| fields.get(at).and_then(|field| field.parse::<u64>().ok()).unwrap_or(0);
+    let ticks = |index: usize| fields.get(index).and_then(|field| field.parse::<u64>().ok()).unwrap_or(0);
     Some(ResourceUsage { memory_kib, descriptors, cpu_ticks: ticks(11) + ticks(12) })
 }
--- a/rig/src/replicas.rs
+++ b/rig/src/replicas.rs
@@ -18,7 +18,7 @@
 
 use crate::listener::ReservedPort;
 use crate::nodes::LaunchConfig;
-use crate::process::{Ended, Process, ResourceUsage};
+use crate::process::{Process, ProcessExit, ResourceUsage};
 use crate::relay::Relay;
 use crate::shared::Shared;
 
@@ -104,7 +104,7 @@
             .stdout(Stdio::null())
             .stderr(log)
             .spawn()?;
-        let pid = one.process.started(child);
+        let pid = one.process.attach(child);
         self.shared.record_event("replica-started", json!({"replica": one.name, "pid": pid}));
         Ok(())
     }
@@ -192,8 +192,8 @@
     /// Takes the end of its process, if it has ended. The text says how, for one that was not told to.
     pub fn reap(&self, at: usize) -> Option<String> {
         let one = &self.all[at];
-        let Ended { status, told, .. } = one.process.reap()?;
+        let ProcessExit { status, exit_requested, .. } = one.process.reap()?;
         self.shared.record_event("replica-ended", json!({"replica": one.name, "status": status.to_string()}));
-        (!told).then(|| format!("{} ended by itself ({status})", one.name))
+        (!exit_requested).then(|| format!("{} ended by itself ({status})", one.name))
     }
 }
