--- a/rig/src/sockets.rs
+++ b/rig/src/sockets.rs
@@ -459,14 +459,14 @@
 
     fn look_at(&self, node: &NodeProcess) {
         if let Some(how) = node.reap() {
-            self.callers.places[node.number].open.store(false, Ordering::Relaxed);
+            self.callers.places[node.index].open.store(false, Ordering::Relaxed);
             self.shared.record_violation(Rule::ProcessesEnded, node.name.clone(), how);
             return;
         }
         let Some(usage) = node.resource_usage() else { return };
         self.most_memory.fetch_max(usage.memory_kib, Ordering::Relaxed);
         self.most_descriptors.fetch_max(usage.descriptors, Ordering::Relaxed);
-        self.cpu[node.number].fetch_max(usage.cpu_ticks, Ordering::Relaxed);
+        self.cpu[node.index].fetch_max(usage.cpu_ticks, Ordering::Relaxed);
         lock(&self.shared.tracker).invariants.record_check(Rule::ProcessBounds);
         let (memory, descriptors) = self.bounds;
         if usage.memory_kib > memory || usage.descriptors > descriptors {
