--- a/rig/src/lib.rs
+++ b/rig/src/lib.rs
@@ -7,7 +7,7 @@
 //! against each other. On sockets [`sockets`] runs the parties: [`servers`] (emulated app servers), [`discovery`] (the list
 //! service), [`relay`] (links that can be cut), [`load_generator`] (clients) and [`nodes`] (the real processes, each a
 //! [`process`], with its [`fleet_file`]), which [`cleanup`] ends if the rig can't. Where a fleet has its
-//! own registry, [`registry`] plays it: [`replicas`] are its processes, [`registrants`] who registers there, and
+//! own registry, [`registry`] plays it: [`replicas`] are its processes, [`registrar`] who registers there, and
 //! [`watchers`] clients that keep account of what it tells.
 
 pub mod adapter;
@@ -21,7 +21,7 @@
 pub mod nodes;
 pub mod process;
 pub mod rank;
-pub mod registrants;
+pub mod registrar;
 pub mod registry;
 pub mod relay;
 pub mod replicas;
--- a/rig/src/registry.rs
+++ b/rig/src/registry.rs
@@ -1,5 +1,5 @@
-//! A fleet's own registry in a run: its processes, who registers there and who watches, the faults that concern it, and
-//! what it came to.
+//! The registry in a run of an experiment: its replicas, the instances that register, the clients that watch, its faults
+//! and its measurements.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,44 +10,44 @@
 
 use brookfield::Nanos;
 use flaxdale_model::invariants::Rule;
-use flaxdale_model::scenario::Registry as Plan;
+use flaxdale_model::scenario::Registry as Settings;
 use flaxdale_model::world::{FaultAction, LinkEnd, SECOND};
 use serde_json::json;
 use tokio::sync::watch;
 use tokio::time::sleep;
 
 use crate::nodes::LaunchConfig;
-use crate::registrants::Registrants;
+use crate::registrar::Registrar;
 use crate::relay::Relay;
 use crate::replicas::Replicas;
 use crate::servers::AppServer;
 use crate::shared::{Shared, lock};
 use crate::watchers::Watchers;
 
-/// Everybody that is to register before the load begins has so long.
-const COME: Duration = Duration::from_secs(60);
-const LOOK: Duration = Duration::from_millis(50);
-/// How long a replica to be harmed is looked for, if it is the one that leads.
-const LEADS: Duration = Duration::from_secs(5);
-/// How long a watch of the clients that keep account waits.
-const HOLD: Duration = Duration::from_secs(2);
-/// The crowd's watches wait as long as nodes' do.
-const CROWD_HOLD: Duration = Duration::from_secs(5);
-/// Watches that are opened at a time: all at once would overrun the queue of new connections.
-const COME_AT_A_TIME: usize = 100;
+/// How long the registrations before the start of the load may take.
+const REGISTRATION_TIMEOUT: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// How long to wait for a replica that a fault can be applied to, such as an elected leader.
+const TARGET_TIMEOUT: Duration = Duration::from_secs(5);
+/// Hold time of the watches of the checking clients.
+const WATCH_HOLD: Duration = Duration::from_secs(2);
+/// Hold time of the watches of the load clients; the same as that of nodes.
+const LOAD_WATCH_HOLD: Duration = Duration::from_secs(5);
+/// Number of watches that are opened at a time; more would overflow the accept queue of the replica.
+const WATCH_BATCH: usize = 100;
 
-/// What was read off the processes at one time.
+/// Counters of all replicas at one time.
 #[derive(Clone, Copy, Default)]
-struct Reading {
+struct Counters {
     cpu_ticks: u64,
-    entries: f64,
-    rounds: f64,
+    log_entries: f64,
+    confirmations: f64,
     renewals: f64,
     at: Nanos,
 }
 
-/// A part of the run with so many watches.
-struct Stage {
+/// A part of the run with a constant number of watches.
+struct WatchStep {
     watches: u32,
     from: Nanos,
     to: Nanos,
@@ -57,270 +57,290 @@
 /// The registry of a run.
 pub struct Registry {
     shared: Arc<Shared>,
-    plan: Plan,
-    /// Its processes.
+    settings: Settings,
+    /// Its replica processes.
     pub replicas: Replicas,
-    registrants: Arc<Registrants>,
+    registrar: Arc<Registrar>,
+    /// Clients that check the list during the whole run.
     watchers: Arc<Watchers>,
-    crowd: Arc<Watchers>,
-    /// Who was harmed by which fault, until it ends.
-    harmed: Mutex<Vec<(FaultAction, usize)>>,
-    stages: Mutex<Vec<Stage>>,
-    /// Whether any process was started again.
+    /// Clients that are added in steps to put load on one replica.
+    load_watchers: Arc<Watchers>,
+    /// The faults in effect and the replicas they affect.
+    active_faults: Mutex<Vec<(FaultAction, usize)>>,
+    watch_steps: Mutex<Vec<WatchStep>>,
+    /// Whether any replica was restarted.
     restarted: AtomicBool,
-    first: Mutex<(Reading, u64)>,
-    stop: watch::Sender<bool>,
+    /// Counters of all replicas and memory of the first one, in KiB, at the start of the load.
+    baseline: Mutex<(Counters, u64)>,
+    stop_writes: watch::Sender<bool>,
 }
 
 impl Registry {
-    /// Prepares a registry; no process runs yet. `touched` tells of two parties whether a fault concerns the link between.
+    /// Prepares a registry without starting its processes. `has_link_fault` tells whether a fault affects the link
+    /// between two ends.
     pub fn prepare(
-        plan: &Plan,
+        settings: &Settings,
         binary: PathBuf,
         launch: Arc<LaunchConfig>,
         shared: Arc<Shared>,
         folder: &Path,
         servers: &[Arc<AppServer>],
-        touched: impl Fn(LinkEnd, LinkEnd) -> bool,
+        has_link_fault: impl Fn(LinkEnd, LinkEnd) -> bool,
     ) -> std::io::Result<Arc<Self>> {
-        let between = |one, other| touched(LinkEnd::Replica(one), LinkEnd::Replica(other));
-        let replicas = Replicas::prepare(binary, launch, shared.clone(), plan, folder, between)?;
-        let addresses: Vec<SocketAddr> = replicas.all.iter().map(|one| one.client).collect();
+        let replicas_have_link_fault =
+            |one, other| has_link_fault(LinkEnd::Replica(one), LinkEnd::Replica(other));
+        let replicas =
+            Replicas::prepare(binary, launch, shared.clone(), settings, folder, replicas_have_link_fault)?;
+        let addresses: Vec<SocketAddr> = replicas.all.iter().map(|replica| replica.client_address).collect();
         let endpoints =
             servers.iter().filter(|server| server.is_up()).map(|server| server.address()).collect();
-        let registrants = Registrants::new(shared.clone(), plan.clone(), addresses.clone(), endpoints);
-        let register = registrants.register.clone();
-        let watchers = Watchers::new(shared.clone(), register.clone(), addresses.clone(), HOLD);
-        let crowd = Watchers::new(shared.clone(), register, addresses, CROWD_HOLD);
-        let (harmed, stages, restarted, first) = Default::default();
-        let (plan, stop) = (plan.clone(), watch::Sender::new(false));
+        let registrar = Registrar::new(shared.clone(), settings.clone(), addresses.clone(), endpoints);
+        let registrations = registrar.log.clone();
+        let watchers = Watchers::new(shared.clone(), registrations.clone(), addresses.clone(), WATCH_HOLD);
+        let load_watchers = Watchers::new(shared.clone(), registrations, addresses, LOAD_WATCH_HOLD);
+        let (active_faults, watch_steps, restarted, baseline) = Default::default();
+        let (settings, stop_writes) = (settings.clone(), watch::Sender::new(false));
         Ok(Arc::new(Self {
             shared,
-            plan,
+            settings,
             replicas,
-            registrants,
+            registrar,
             watchers,
-            crowd,
-            harmed,
-            stages,
+            load_watchers,
+            active_faults,
+            watch_steps,
             restarted,
-            first,
-            stop,
+            baseline,
+            stop_writes,
         }))
     }
 
-    /// Where a node finds the replicas; links stand between where a fault concerns them.
+    /// Addresses of the replicas for a node; those of relays where a fault affects the link.
     pub fn addresses(
         &self,
         node: usize,
-        touched: impl Fn(LinkEnd, LinkEnd) -> bool,
+        has_link_fault: impl Fn(LinkEnd, LinkEnd) -> bool,
     ) -> std::io::Result<Vec<SocketAddr>> {
         let info = &self.shared.world.nodes[node];
         let mut addresses = Vec::new();
-        for (number, replica) in self.replicas.all.iter().enumerate() {
-            addresses.push(if touched(LinkEnd::Node(node), LinkEnd::Replica(number)) {
-                let own = (LinkEnd::Node(node), info.zone);
+        for (index, replica) in self.replicas.all.iter().enumerate() {
+            addresses.push(if has_link_fault(LinkEnd::Node(node), LinkEnd::Replica(index)) {
+                let node_end = (LinkEnd::Node(node), info.zone);
                 Relay::start(
                     self.shared.clone(),
-                    own,
-                    flaxdale_model::timeline::replica_end(number),
-                    replica.client,
+                    node_end,
+                    flaxdale_model::timeline::replica_end(index),
+                    replica.client_address,
                 )?
             } else {
-                replica.client
+                replica.client_address
             });
         }
         Ok(addresses)
     }
 
-    /// Starts the processes and has everybody register who is there from the start. The text says what did not come.
+    /// Starts the replicas and waits until all instances that exist from the start are registered. Returns an error
+    /// message otherwise.
     pub async fn start(
         self: &Arc<Self>,
         servers: &[Arc<AppServer>],
-        patience: Duration,
+        ready_timeout: Duration,
     ) -> Result<(), String> {
-        self.replicas.start_all(patience).await?;
+        self.replicas.start_all(ready_timeout).await?;
         let up = servers.iter().filter(|server| server.is_up()).count();
         for server in servers {
-            tokio::spawn(self.registrants.clone().keep(server.clone()));
+            tokio::spawn(self.registrar.clone().run_server(server.clone()));
         }
-        tokio::spawn(self.registrants.clone().crowd());
-        let wanted = up + self.plan.instances as usize;
-        let began = tokio::time::Instant::now();
-        while lock(&self.registrants.register.alive).len() < wanted {
-            if began.elapsed() > COME {
-                let came = lock(&self.registrants.register.alive).len();
-                return Err(format!("{came} of {wanted} instances could register"));
+        tokio::spawn(self.registrar.clone().run_additional_instances());
+        let expected = up + self.settings.instances as usize;
+        let started_at = tokio::time::Instant::now();
+        while lock(&self.registrar.log.renewing).len() < expected {
+            if started_at.elapsed() > REGISTRATION_TIMEOUT {
+                let registered = lock(&self.registrar.log.renewing).len();
+                return Err(format!("only {registered} of {expected} instances could register"));
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
         let count = self.replicas.all.len();
-        (0..self.plan.watchers as usize).for_each(|number| self.watchers.add(number % count));
+        (0..self.settings.watchers as usize).for_each(|index| self.watchers.add(index % count));
         Ok(())
     }
 
-    /// The load begins: writes, and watches in their steps.
-    pub async fn start_load(self: &Arc<Self>, start: Nanos, span: Nanos) {
-        let memory = self.replicas.resource_usage(0).map_or(0, |usage| usage.memory_kib);
-        *lock(&self.first) = (self.read().await, memory);
-        tokio::spawn(self.registrants.clone().write(self.stop.subscribe()));
-        if !self.plan.watcher_steps.is_empty() {
-            tokio::spawn(self.clone().come(start, span));
+    /// Starts the writes and the steps of watches.
+    pub async fn start_load(self: &Arc<Self>, start: Nanos, duration: Nanos) {
+        let memory_kib = self.replicas.resource_usage(0).map_or(0, |usage| usage.memory_kib);
+        *lock(&self.baseline) = (self.read_counters().await, memory_kib);
+        tokio::spawn(self.registrar.clone().write(self.stop_writes.subscribe()));
+        if !self.settings.watcher_steps.is_empty() {
+            tokio::spawn(self.clone().run_watch_steps(start, duration));
         }
     }
 
-    async fn come(self: Arc<Self>, start: Nanos, span: Nanos) {
-        let part = span / self.plan.watcher_steps.len() as u64;
-        let mut there = 0;
-        for (number, &watches) in (1..).zip(&self.plan.watcher_steps) {
-            while there < watches as usize {
-                let more = COME_AT_A_TIME.min(watches as usize - there);
-                (0..more).for_each(|_| self.crowd.add(0));
-                there += more;
-                while self.crowd.ready() < there {
+    async fn run_watch_steps(self: Arc<Self>, start: Nanos, duration: Nanos) {
+        let step_duration = duration / self.settings.watcher_steps.len() as u64;
+        let mut open = 0;
+        for (number, &watches) in (1..).zip(&self.settings.watcher_steps) {
+            while open < watches as usize {
+                let more = WATCH_BATCH.min(watches as usize - open);
+                (0..more).for_each(|_| self.load_watchers.add(0));
+                open += more;
+                while self.load_watchers.ready_count() < open {
                     sleep(Duration::from_millis(5)).await;
                 }
             }
-            let (from, to) = (self.shared.clock.now(), start + number * part);
+            let (from, to) = (self.shared.clock.now(), start + number * step_duration);
             self.shared.clock.sleep_until(to).await;
             let memory_kib = self.replicas.resource_usage(0).map_or(0, |usage| usage.memory_kib);
-            lock(&self.stages).push(Stage { watches, from, to, memory_kib });
+            lock(&self.watch_steps).push(WatchStep { watches, from, to, memory_kib });
         }
     }
 
-    async fn read(&self) -> Reading {
-        let mut all = Reading { at: self.shared.clock.now(), ..Reading::default() };
-        for at in 0..self.replicas.all.len() {
-            all.cpu_ticks += self.replicas.resource_usage(at).map_or(0, |usage| usage.cpu_ticks);
-            all.entries += self.replicas.figure(at, "log_entries_total").await.unwrap_or(0.0);
-            all.rounds += self.replicas.figure(at, "confirmations_total").await.unwrap_or(0.0);
-            all.renewals += self.replicas.figure(at, "renewals_total").await.unwrap_or(0.0);
+    async fn read_counters(&self) -> Counters {
+        let mut counters = Counters { at: self.shared.clock.now(), ..Counters::default() };
+        for index in 0..self.replicas.all.len() {
+            counters.cpu_ticks += self.replicas.resource_usage(index).map_or(0, |usage| usage.cpu_ticks);
+            counters.log_entries += self.replicas.metric(index, "log_entries_total").await.unwrap_or(0.0);
+            counters.confirmations += self.replicas.metric(index, "confirmations_total").await.unwrap_or(0.0);
+            counters.renewals += self.replicas.metric(index, "renewals_total").await.unwrap_or(0.0);
         }
-        all
+        counters
     }
 
-    /// Plays a fault that concerns a replica.
-    pub async fn apply_fault(&self, act: FaultAction, begins: bool) {
-        let who = match act {
-            FaultAction::KillReplica(who)
-            | FaultAction::PauseReplica(who)
-            | FaultAction::LoseReplica(who) => who,
+    /// Begins or ends a fault of a replica.
+    pub async fn apply_fault(&self, action: FaultAction, begins: bool) {
+        let target = match action {
+            FaultAction::KillReplica(target)
+            | FaultAction::PauseReplica(target)
+            | FaultAction::LoseReplica(target) => target,
             _ => return,
         };
-        let at = if begins { self.whom(who).await } else { self.was_harmed(&act) };
-        let Some(at) = at else {
-            self.shared
-                .record_event("fault-missed", json!({"fault": format!("{act:?}"), "why": "nobody to harm"}));
+        let index = if begins { self.pick_target(target).await } else { self.take_active_fault(&action) };
+        let Some(index) = index else {
+            self.shared.record_event(
+                "fault-missed",
+                json!({"fault": format!("{action:?}"), "why": "no replica to apply it to"}),
+            );
             return;
         };
-        let name = self.replicas.all[at].name.clone();
+        let name = self.replicas.all[index].name.clone();
         self.shared.record_event("replica-harmed", json!({"replica": name, "begins": begins}));
-        match (&act, begins) {
-            (FaultAction::PauseReplica(_), _) => drop(self.replicas.set_paused(at, begins)),
-            (FaultAction::KillReplica(_), true) => self.replicas.kill(at, true).await,
-            (FaultAction::LoseReplica(_), true) => self.replicas.kill(at, false).await,
+        match (&action, begins) {
+            (FaultAction::PauseReplica(_), _) => drop(self.replicas.set_paused(index, begins)),
+            (FaultAction::KillReplica(_), true) => self.replicas.kill(index, true).await,
+            (FaultAction::LoseReplica(_), true) => self.replicas.kill(index, false).await,
             _ => {
                 self.restarted.store(true, Ordering::Relaxed);
-                if let Err(error) = self.replicas.start(at) {
+                if let Err(error) = self.replicas.start(index) {
                     self.shared.record_violation(Rule::ProcessesEnded, name, error.to_string());
                 }
             }
         }
         if begins {
-            lock(&self.harmed).push((act, at));
+            lock(&self.active_faults).push((action, index));
         }
     }
 
-    async fn whom(&self, who: Option<usize>) -> Option<usize> {
-        let began = tokio::time::Instant::now();
-        let free = |at: &usize| !lock(&self.harmed).iter().any(|(_, harmed)| harmed == at);
+    async fn pick_target(&self, target: Option<usize>) -> Option<usize> {
+        let started_at = tokio::time::Instant::now();
+        let unaffected =
+            |index: &usize| !lock(&self.active_faults).iter().any(|(_, affected)| affected == index);
         loop {
-            let found = match who {
-                Some(at) => Some(at),
+            let found = match target {
+                Some(index) => Some(index),
                 None => self.replicas.leader().await,
             };
-            if let Some(at) = found.filter(free) {
-                return Some(at);
+            if let Some(index) = found.filter(unaffected) {
+                return Some(index);
             }
-            if began.elapsed() > LEADS {
+            if started_at.elapsed() > TARGET_TIMEOUT {
                 return None;
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    fn was_harmed(&self, act: &FaultAction) -> Option<usize> {
-        let mut harmed = lock(&self.harmed);
-        let at = harmed.iter().position(|(by, _)| by == act)?;
-        Some(harmed.remove(at).1)
+    fn take_active_fault(&self, action: &FaultAction) -> Option<usize> {
+        let mut active_faults = lock(&self.active_faults);
+        let position = active_faults.iter().position(|(active, _)| active == action)?;
+        Some(active_faults.remove(position).1)
     }
 
-    /// Looks whether a process has ended by itself.
+    /// Records replicas that have exited unexpectedly as rule violations.
     pub fn check_processes(&self) {
-        for at in 0..self.replicas.all.len() {
-            if let Some(how) = self.replicas.reap(at) {
-                self.shared.record_violation(Rule::ProcessesEnded, self.replicas.all[at].name.clone(), how);
+        for index in 0..self.replicas.all.len() {
+            if let Some(exit) = self.replicas.reap(index) {
+                self.shared.record_violation(
+                    Rule::ProcessesEnded,
+                    self.replicas.all[index].name.clone(),
+                    exit,
+                );
             }
         }
     }
 
-    /// The load is over: holds the rules on what the registry told, and tells what it came to.
+    /// Checks the rules of the registry after the load and returns its measurements.
     pub async fn finish(&self) -> BTreeMap<String, f64> {
-        let last = self.read().await;
-        self.stop.send_replace(true);
-        self.watchers.settle().await;
-        let (first, memory) = *lock(&self.first);
+        let last = self.read_counters().await;
+        self.stop_writes.send_replace(true);
+        self.watchers.check_final_lists().await;
+        let (first, memory_kib) = *lock(&self.baseline);
         let mut measures = BTreeMap::new();
         let mut put = |name: &str, value: f64| {
             measures.insert(format!("registry_{name}"), value);
         };
         let seconds = (last.at - first.at) as f64 / SECOND as f64;
-        let register = &self.registrants.register;
-        let load = |counter: &AtomicU64| counter.load(Ordering::Relaxed) as f64;
-        put("writes", lock(&register.acknowledged).len() as f64);
-        put("write_gap_ms_max", load(&register.gap) / 1e6);
-        if let Some(took) = lock(&register.took).as_ref().filter(|took| !took.is_empty()) {
-            put("write_ms_p50", took.value_at_quantile(0.5) as f64 / 1000.0);
-            put("write_ms_p99", took.value_at_quantile(0.99) as f64 / 1000.0);
+        let registrations = &self.registrar.log;
+        let read = |counter: &AtomicU64| counter.load(Ordering::Relaxed) as f64;
+        put("writes", lock(&registrations.acknowledged).len() as f64);
+        put("write_gap_ms_max", read(&registrations.max_write_gap) / 1e6);
+        if let Some(latency) =
+            lock(&registrations.write_latency_us).as_ref().filter(|latency| !latency.is_empty())
+        {
+            put("write_ms_p50", latency.value_at_quantile(0.5) as f64 / 1000.0);
+            put("write_ms_p99", latency.value_at_quantile(0.99) as f64 / 1000.0);
         }
-        put("renewals_missed", load(&register.missed));
-        // A replica that was started again counts from 0: then these say nothing.
+        put("renewals_missed", read(&registrations.failed_renewals));
+        // The counters of a restarted replica begin at 0, so the differences would be wrong.
         if !self.restarted.load(Ordering::Relaxed) {
             put("renewals_per_s", (last.renewals - first.renewals) / seconds);
-            put("log_entries_per_s", (last.entries - first.entries) / seconds);
-            put("confirmations_per_s", (last.rounds - first.rounds) / seconds);
+            put("log_entries_per_s", (last.log_entries - first.log_entries) / seconds);
+            put("confirmations_per_s", (last.confirmations - first.confirmations) / seconds);
             put("cpu_ms_per_s", (last.cpu_ticks - first.cpu_ticks) as f64 * 10.0 / seconds);
         }
-        let whole = self.watchers.account(first.at, last.at);
-        put("watch_silent_ms_max", whole.silent_ms);
-        if let Some(p99) = whole.heard_by(0.99) {
+        let stats = self.watchers.stats(first.at, last.at);
+        put("watch_silent_ms_max", stats.max_silence_ms);
+        if let Some(p99) = stats.propagation_quantile_ms(0.99) {
             put("heard_ms_p99", p99);
         }
-        for stage in lock(&self.stages).iter() {
-            let account = self.crowd.account(stage.from, stage.to.saturating_sub(SECOND));
-            let of = stage.watches;
-            put(&format!("crowd_heard.{of}"), account.heard_ms.len() as f64);
-            for (name, share) in [("p50", 0.5), ("p99", 0.99)] {
-                if let Some(ms) = account.heard_by(share) {
-                    put(&format!("crowd_heard_ms_{name}.{of}"), ms);
+        for step in lock(&self.watch_steps).iter() {
+            let stats = self.load_watchers.stats(step.from, step.to.saturating_sub(SECOND));
+            let watches = step.watches;
+            put(&format!("crowd_heard.{watches}"), stats.propagation_ms.len() as f64);
+            for (name, quantile) in [("p50", 0.5), ("p99", 0.99)] {
+                if let Some(ms) = stats.propagation_quantile_ms(quantile) {
+                    put(&format!("crowd_heard_ms_{name}.{watches}"), ms);
                 }
             }
-            let more = stage.memory_kib.saturating_sub(memory) as f64;
-            put(&format!("kib_per_watch.{of}"), more / f64::from(of));
+            let added_kib = step.memory_kib.saturating_sub(memory_kib) as f64;
+            put(&format!("kib_per_watch.{watches}"), added_kib / f64::from(watches));
         }
         measures
     }
 
-    /// Ends every process, and holds that each ended as it was told to.
+    /// Stops all replicas and checks that each exits on SIGTERM.
     pub async fn stop(&self) {
-        for at in 0..self.replicas.all.len() {
-            if self.replicas.pid(at).is_none() {
+        for index in 0..self.replicas.all.len() {
+            if self.replicas.pid(index).is_none() {
                 continue;
             }
             lock(&self.shared.tracker).invariants.record_check(Rule::ProcessesEnded);
-            if !self.replicas.stop(at).await {
-                let what = "did not end after SIGTERM, and was killed".to_owned();
-                self.shared.record_violation(Rule::ProcessesEnded, self.replicas.all[at].name.clone(), what);
+            if !self.replicas.stop(index).await {
+                let detail = "did not exit after SIGTERM and was killed".to_owned();
+                self.shared.record_violation(
+                    Rule::ProcessesEnded,
+                    self.replicas.all[index].name.clone(),
+                    detail,
+                );
             }
         }
     }
--- a/rig/src/replicas.rs
+++ b/rig/src/replicas.rs
@@ -1,5 +1,5 @@
-//! The registry's processes: prepared with a configuration each, started, paused, killed, with or without their store,
-//! and ended. Their ports are their own in all their lives.
+//! The registry's replica processes: configured, started, paused, killed (with or without loss of their data), and
+//! stopped. Each keeps its ports across restarts.
 
 use std::fs::OpenOptions;
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 use flaxdale_fleet::call::{Call, HttpClient};
 use flaxdale_fleet::parent_process;
 use flaxdale_model::scenario::Registry;
-use flaxdale_model::timeline::replica_end as end_of;
+use flaxdale_model::timeline::replica_end;
 use rustix::process::Signal;
 use serde_json::{Value, json};
 use tokio::time::{Instant, sleep};
@@ -22,81 +22,91 @@
 use crate::relay::Relay;
 use crate::shared::Shared;
 
-/// How often a replica that starts is looked at.
-const LOOK: Duration = Duration::from_millis(20);
-const ASK: Duration = Duration::from_secs(1);
-const MOST_ANSWER: usize = 1024 * 1024;
+/// How often a starting replica is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+const MAX_RESPONSE_BYTES: usize = 1024 * 1024;
 
-/// One replica.
+/// A replica and its process.
 pub struct Replica {
-    /// Its name.
+    /// Name of the replica.
     pub name: String,
-    /// Where clients find it, without a link between.
-    pub client: SocketAddr,
-    config: PathBuf,
-    data: PathBuf,
-    log: PathBuf,
+    /// Address for clients, without a relay.
+    pub client_address: SocketAddr,
+    config_file: PathBuf,
+    data_dir: PathBuf,
+    log_file: PathBuf,
     process: Process,
     _ports: [ReservedPort; 2],
 }
 
-/// The registry of a run.
+/// All replicas of a run's registry.
 pub struct Replicas {
-    /// They, by number.
+    /// The replicas, by index.
     pub all: Vec<Replica>,
     binary: PathBuf,
     shared: Arc<Shared>,
 }
 
 impl Replicas {
-    /// Prepares their files and the links between those that a fault concerns. `touched` tells of two parties whether one
-    /// does.
+    /// Reserves ports, writes configurations and starts relays between replicas whose link a fault affects.
+    /// `has_link_fault` tells whether that is so for two replicas.
     pub fn prepare(
         binary: PathBuf,
         launch: Arc<LaunchConfig>,
         shared: Arc<Shared>,
-        plan: &Registry,
+        settings: &Registry,
         folder: &Path,
-        touched: impl Fn(usize, usize) -> bool,
+        has_link_fault: impl Fn(usize, usize) -> bool,
     ) -> std::io::Result<Self> {
-        let count = plan.replicas as usize;
+        let count = settings.replicas as usize;
         let ports: Vec<[ReservedPort; 2]> = (0..count)
             .map(|_| Ok([ReservedPort::reserve()?, ReservedPort::reserve()?]))
             .collect::<std::io::Result<_>>()?;
-        let peers: Vec<SocketAddr> =
+        let peer_addresses: Vec<SocketAddr> =
             ports.iter().map(|[_, peer]| peer.address()).collect::<Result<_, _>>()?;
         let mut all = Vec::new();
-        for (own, ports) in ports.into_iter().enumerate() {
-            let name = format!("r{own}");
+        for (index, ports) in ports.into_iter().enumerate() {
+            let name = format!("r{index}");
             let mut via = toml::Table::new();
-            for (other, peer) in peers.iter().enumerate() {
-                if other != own && touched(own, other) {
-                    let relay = Relay::start(shared.clone(), end_of(own), end_of(other), *peer)?;
-                    via.insert(peer.to_string(), relay.to_string().into());
+            for (other, peer_address) in peer_addresses.iter().enumerate() {
+                if other != index && has_link_fault(index, other) {
+                    let relay =
+                        Relay::start(shared.clone(), replica_end(index), replica_end(other), *peer_address)?;
+                    via.insert(peer_address.to_string(), relay.to_string().into());
                 }
             }
-            let client = ports[0].address()?;
-            let data = folder.join(format!("{name}-data"));
-            let settings = json!({"fleet": "rig", "listen": client.to_string(), "peer_listen": peers[own].to_string(),
-                "replicas": peers.iter().map(SocketAddr::to_string).collect::<Vec<_>>(),
-                "data": data.display().to_string(), "lease_ms": plan.lease_ms as u64,
-                "snapshot_every": plan.snapshot_every, "via": via});
-            let config = launch.config_dir.join(format!("{name}.toml"));
-            let text = toml::to_string(&settings).map_err(std::io::Error::other)?;
-            std::fs::write(&config, text)?;
-            let (log, process) = (launch.log_dir.join(format!("{name}.log")), Process::new(launch.clone()));
-            all.push(Replica { name, client, config, data, log, process, _ports: ports });
+            let client_address = ports[0].address()?;
+            let data_dir = folder.join(format!("{name}-data"));
+            let config = json!({"fleet": "rig", "listen": client_address.to_string(), "peer_listen": peer_addresses[index].to_string(),
+                "replicas": peer_addresses.iter().map(SocketAddr::to_string).collect::<Vec<_>>(),
+                "data": data_dir.display().to_string(), "lease_ms": settings.lease_ms as u64,
+                "snapshot_every": settings.snapshot_every, "via": via});
+            let config_file = launch.config_dir.join(format!("{name}.toml"));
+            let text = toml::to_string(&config).map_err(std::io::Error::other)?;
+            std::fs::write(&config_file, text)?;
+            let (log_file, process) =
+                (launch.log_dir.join(format!("{name}.log")), Process::new(launch.clone()));
+            all.push(Replica {
+                name,
+                client_address,
+                config_file,
+                data_dir,
+                log_file,
+                process,
+                _ports: ports,
+            });
         }
         Ok(Self { all, binary, shared })
     }
 
-    /// Starts one.
-    pub fn start(&self, at: usize) -> std::io::Result<()> {
-        let one = &self.all[at];
-        let log = OpenOptions::new().create(true).append(true).open(&one.log)?;
+    /// Starts the process of a replica.
+    pub fn start(&self, index: usize) -> std::io::Result<()> {
+        let replica = &self.all[index];
+        let log = OpenOptions::new().create(true).append(true).open(&replica.log_file)?;
         let child = Command::new(&self.binary)
             .args(["registry", "serve", "--config"])
-            .arg(&one.config)
+            .arg(&replica.config_file)
             .env("EDGE_LOG", "info,openraft=error")
             .env("EDGE_LOG_FORMAT", "json")
             .env(parent_process::ENV_VAR, "stdin")
@@ -104,96 +114,103 @@
             .stdout(Stdio::null())
             .stderr(log)
             .spawn()?;
-        let pid = one.process.attach(child);
-        self.shared.record_event("replica-started", json!({"replica": one.name, "pid": pid}));
+        let pid = replica.process.attach(child);
+        self.shared.record_event("replica-started", json!({"replica": replica.name, "pid": pid}));
         Ok(())
     }
 
-    /// Starts all and waits until each is ready. The text says who was not.
-    pub async fn start_all(&self, patience: Duration) -> Result<(), String> {
-        for (at, one) in self.all.iter().enumerate() {
-            self.start(at).map_err(|error| format!("{} can't be started: {error}", one.name))?;
+    /// Starts all replicas and waits until each is ready. Returns an error message otherwise.
+    pub async fn start_all(&self, ready_timeout: Duration) -> Result<(), String> {
+        for (index, replica) in self.all.iter().enumerate() {
+            self.start(index).map_err(|error| format!("cannot start {}: {error}", replica.name))?;
         }
-        let until = Instant::now() + patience;
-        for (at, one) in self.all.iter().enumerate() {
-            while self.status(at).await.is_none_or(|status| status["ready"] != json!(true)) {
-                if let Some(how) = self.reap(at) {
-                    return Err(how);
+        let deadline = Instant::now() + ready_timeout;
+        for (index, replica) in self.all.iter().enumerate() {
+            while self.status(index).await.is_none_or(|status| status["ready"] != json!(true)) {
+                if let Some(exit) = self.reap(index) {
+                    return Err(exit);
                 }
-                if Instant::now() >= until {
-                    return Err(format!("{} was not ready after {} s", one.name, patience.as_secs_f64()));
+                if Instant::now() >= deadline {
+                    return Err(format!(
+                        "{} was not ready after {} s",
+                        replica.name,
+                        ready_timeout.as_secs_f64()
+                    ));
                 }
-                sleep(LOOK).await;
+                sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
     }
 
-    /// What one says of itself.
-    pub async fn status(&self, at: usize) -> Option<Value> {
-        let call = Call::get("/registry/status", ASK, MOST_ANSWER);
-        let answer = HttpClient::new(self.all[at].client).call(&call).await.ok()?;
-        serde_json::from_slice(&answer.body).ok()
+    /// Status that a replica reports.
+    pub async fn status(&self, index: usize) -> Option<Value> {
+        let call = Call::get("/registry/status", CALL_TIMEOUT, MAX_RESPONSE_BYTES);
+        let response = HttpClient::new(self.all[index].client_address).call(&call).await.ok()?;
+        serde_json::from_slice(&response.body).ok()
     }
 
-    /// A counter of one's figures.
-    pub async fn figure(&self, at: usize, name: &str) -> Option<f64> {
-        let answer =
-            HttpClient::new(self.all[at].client).call(&Call::get("/metrics", ASK, MOST_ANSWER)).await.ok()?;
-        let text = String::from_utf8_lossy(&answer.body).into_owned();
+    /// Value of a metric of a replica, by its name without the prefix.
+    pub async fn metric(&self, index: usize, name: &str) -> Option<f64> {
+        let response = HttpClient::new(self.all[index].client_address)
+            .call(&Call::get("/metrics", CALL_TIMEOUT, MAX_RESPONSE_BYTES))
+            .await
+            .ok()?;
+        let text = String::from_utf8_lossy(&response.body).into_owned();
         let line = text.lines().find_map(|line| line.strip_prefix("flaxdale_registry_")?.strip_prefix(name));
         line?.trim().parse().ok()
     }
 
-    /// Which one leads.
+    /// Index of the leader.
     pub async fn leader(&self) -> Option<usize> {
-        for at in 0..self.all.len() {
-            if self.pid(at).is_some()
-                && self.status(at).await.is_some_and(|status| status["leads"] == json!(true))
+        for index in 0..self.all.len() {
+            if self.pid(index).is_some()
+                && self.status(index).await.is_some_and(|status| status["leads"] == json!(true))
             {
-                return Some(at);
+                return Some(index);
             }
         }
         None
     }
 
-    /// Its process's number, while there is one.
-    pub fn pid(&self, at: usize) -> Option<u32> {
-        self.all[at].process.pid()
+    /// PID of a replica's process while it is running.
+    pub fn pid(&self, index: usize) -> Option<u32> {
+        self.all[index].process.pid()
     }
 
-    /// What its process holds.
-    pub fn resource_usage(&self, at: usize) -> Option<ResourceUsage> {
-        self.all[at].process.resource_usage()
+    /// Resources that a replica's process uses now.
+    pub fn resource_usage(&self, index: usize) -> Option<ResourceUsage> {
+        self.all[index].process.resource_usage()
     }
 
-    /// Pauses one, or lets it go on.
-    pub fn set_paused(&self, at: usize, paused: bool) -> bool {
-        self.all[at].process.set_paused(paused)
+    /// Pauses or resumes a replica; returns whether the signal was delivered.
+    pub fn set_paused(&self, index: usize, paused: bool) -> bool {
+        self.all[index].process.set_paused(paused)
     }
 
-    /// Kills one outright; its store stays, or goes with it.
-    pub async fn kill(&self, at: usize, store: bool) {
-        self.all[at].process.end(Signal::KILL, || drop(self.reap(at))).await;
-        if !store && let Err(error) = std::fs::remove_dir_all(&self.all[at].data) {
+    /// Kills a replica and waits until it has exited. Removes its data unless `keep_data`.
+    pub async fn kill(&self, index: usize, keep_data: bool) {
+        self.all[index].process.end(Signal::KILL, || drop(self.reap(index))).await;
+        if !keep_data && let Err(error) = std::fs::remove_dir_all(&self.all[index].data_dir) {
             self.shared.record_event(
                 "rig-trouble",
-                json!({"replica": self.all[at].name, "cause": error.to_string()}),
+                json!({"replica": self.all[index].name, "cause": error.to_string()}),
             );
         }
     }
 
-    /// Tells one to end, and waits until it has. Whether it did so by itself.
-    pub async fn stop(&self, at: usize) -> bool {
-        self.set_paused(at, false);
-        self.all[at].process.stop(|| drop(self.reap(at))).await
+    /// Stops a replica and waits until it has exited. Returns whether it exited on SIGTERM.
+    pub async fn stop(&self, index: usize) -> bool {
+        self.set_paused(index, false);
+        self.all[index].process.stop(|| drop(self.reap(index))).await
     }
 
-    /// Takes the end of its process, if it has ended. The text says how, for one that was not told to.
-    pub fn reap(&self, at: usize) -> Option<String> {
-        let one = &self.all[at];
-        let ProcessExit { status, exit_requested, .. } = one.process.reap()?;
-        self.shared.record_event("replica-ended", json!({"replica": one.name, "status": status.to_string()}));
-        (!exit_requested).then(|| format!("{} ended by itself ({status})", one.name))
+    /// Reaps a replica's process if it has exited. Returns a description of the exit if the rig did not ask for it.
+    pub fn reap(&self, index: usize) -> Option<String> {
+        let replica = &self.all[index];
+        let ProcessExit { status, exit_requested, .. } = replica.process.reap()?;
+        self.shared
+            .record_event("replica-ended", json!({"replica": replica.name, "status": status.to_string()}));
+        (!exit_requested).then(|| format!("{} exited unexpectedly ({status})", replica.name))
     }
 }
--- a/rig/src/watchers.rs
+++ b/rig/src/watchers.rs
@@ -1,5 +1,5 @@
-//! Clients of the registry that keep account: whether a version ever stepped back, who was told of as gone, how long
-//! nothing was told, and how long after a change each of them knew of it.
+//! Registry clients that watch the list and check it: revisions never decrease and no live instance is listed as gone.
+//! They measure how long each change takes to arrive and how long no response arrives.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -14,17 +14,17 @@
 use serde::Deserialize;
 use tokio::time::{sleep, timeout};
 
-use crate::registrants::Register;
+use crate::registrar::RegistrationLog;
 use crate::shared::{Shared, lock};
 
-const MOST_LIST: usize = 16 * 1024 * 1024;
-/// An answer this long after a watch's wait does not come any more.
-const GRACE: Duration = Duration::from_secs(1);
-/// Changes whose arrival one client remembers.
-const MOST_HEARD: usize = 4096;
-/// How long after the end of the faults a client may take to have the committed list.
-const SETTLES: Duration = Duration::from_secs(20);
-const LOOK: Duration = Duration::from_millis(50);
+const MAX_LIST_BYTES: usize = 16 * 1024 * 1024;
+/// How long a response may take beyond the hold time of the watch.
+const RESPONSE_GRACE: Duration = Duration::from_secs(1);
+/// Maximum number of revisions whose arrival is recorded per client.
+const MAX_ARRIVALS: usize = 4096;
+/// How long after the load a client may take to have the committed list.
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 #[derive(Deserialize)]
 struct List {
@@ -42,231 +42,239 @@
     boot_ms: u64,
 }
 
-/// What one client has seen.
+/// What one client has received.
 #[derive(Default)]
-struct Seen {
+struct ClientState {
     list: BTreeMap<String, Target>,
     rev: u64,
-    /// When it knew of each version that it was told.
-    heard: Vec<(u64, Nanos)>,
-    /// When it was last told anything, and the longest time that it was not.
-    last: Option<Nanos>,
-    silent: Nanos,
+    /// Arrival time of each revision.
+    arrivals: Vec<(u64, Nanos)>,
+    last_response: Option<Nanos>,
+    /// Longest time between two responses.
+    max_silence: Nanos,
 }
 
-/// Clients that watch.
+/// A group of watching clients.
 pub struct Watchers {
     shared: Arc<Shared>,
-    register: Arc<Register>,
+    registrations: Arc<RegistrationLog>,
     addresses: Vec<SocketAddr>,
-    rules: WatchPolicy,
-    seen: Mutex<Vec<Arc<Mutex<Seen>>>>,
+    policy: WatchPolicy,
+    clients: Mutex<Vec<Arc<Mutex<ClientState>>>>,
 }
 
-/// What the clients came to, together.
+/// Measurements of all clients of a group.
 #[derive(Clone, Debug, Default)]
-pub struct Account {
-    /// How long each client took to know of each change, in milliseconds, sorted.
-    pub heard_ms: Vec<f64>,
-    /// The longest time without any answer, in milliseconds.
-    pub silent_ms: f64,
+pub struct WatchStats {
+    /// Time from each change to its arrival at each client, in milliseconds, sorted.
+    pub propagation_ms: Vec<f64>,
+    /// Longest time between two responses to a client, in milliseconds.
+    pub max_silence_ms: f64,
 }
 
 impl Watchers {
-    /// Nobody yet.
+    /// A group without clients.
     pub fn new(
         shared: Arc<Shared>,
-        register: Arc<Register>,
+        registrations: Arc<RegistrationLog>,
         addresses: Vec<SocketAddr>,
         hold: Duration,
     ) -> Arc<Self> {
-        let rules = WatchPolicy { hold, ..WatchPolicy::default() };
-        Arc::new(Self { shared, register, addresses, rules, seen: Mutex::default() })
+        let policy = WatchPolicy { hold, ..WatchPolicy::default() };
+        Arc::new(Self { shared, registrations, addresses, policy, clients: Mutex::default() })
     }
 
-    /// One more, which asks this replica first. It ends with the runtime.
-    pub fn add(self: &Arc<Self>, first: usize) {
-        let seen = Arc::new(Mutex::new(Seen::default()));
-        lock(&self.seen).push(seen.clone());
-        tokio::spawn(self.clone().follow(first, seen));
+    /// Adds a client that first watches the replica with this index. Its task runs until the runtime ends.
+    pub fn add(self: &Arc<Self>, first_replica: usize) {
+        let state = Arc::new(Mutex::new(ClientState::default()));
+        lock(&self.clients).push(state.clone());
+        tokio::spawn(self.clone().watch(first_replica, state));
     }
 
-    /// How many have a list.
-    pub fn ready(&self) -> usize {
-        lock(&self.seen).iter().filter(|seen| lock(seen).rev > 0).count()
+    /// Number of clients that have received a list.
+    pub fn ready_count(&self) -> usize {
+        lock(&self.clients).iter().filter(|state| lock(state).rev > 0).count()
     }
 
-    async fn follow(self: Arc<Self>, first: usize, seen: Arc<Mutex<Seen>>) {
+    async fn watch(self: Arc<Self>, first_replica: usize, state: Arc<Mutex<ClientState>>) {
         let count = self.addresses.len();
-        let mut links: Vec<HttpClient> =
-            (0..count).map(|by| HttpClient::new(self.addresses[(first + by) % count])).collect();
-        let mut follower = WatchClient::new(self.rules, count, 0.0);
+        let mut replicas: Vec<HttpClient> = (0..count)
+            .map(|offset| HttpClient::new(self.addresses[(first_replica + offset) % count]))
+            .collect();
+        let mut watch_client = WatchClient::new(self.policy, count, 0.0);
         let clock = self.shared.clock;
-        let began = clock.now();
-        let since = || Duration::from_nanos(clock.now() - began);
+        let started_at = clock.now();
+        let elapsed = || Duration::from_nanos(clock.now() - started_at);
         loop {
-            let (at, ask) = follower.next_request(since());
-            sleep(at.saturating_sub(since())).await;
-            let asked = since();
-            let answer =
-                links[ask.replica].call(&Call::get(ask.path_and_query(), ask.hold + GRACE, MOST_LIST)).await;
-            let answer = answer.ok().filter(|answer| answer.status == StatusCode::OK);
-            let list = answer.and_then(|answer| {
-                Some((serde_json::from_slice::<List>(&answer.body).ok()?, answer.list_age()))
+            let (send_at, request) = watch_client.next_request(elapsed());
+            sleep(send_at.saturating_sub(elapsed())).await;
+            let sent_at = elapsed();
+            let response = replicas[request.replica]
+                .call(&Call::get(request.path_and_query(), request.hold + RESPONSE_GRACE, MAX_LIST_BYTES))
+                .await;
+            let response = response.ok().filter(|response| response.status == StatusCode::OK);
+            let list = response.and_then(|response| {
+                Some((serde_json::from_slice::<List>(&response.body).ok()?, response.list_age()))
             });
             let Some((list, age)) = list else {
-                // Spread as a fleet's clients are; the links' order differs between them.
-                follower.on_failure(since(), None, (first % 10) as f64 / 10.0);
+                // The jitter differs between clients, as in a real fleet.
+                watch_client.on_failure(elapsed(), None, (first_replica % 10) as f64 / 10.0);
                 continue;
             };
-            let mut book = lock(&self.shared.tracker);
-            book.invariants.record_check(Rule::RegistryForward);
-            drop(book);
-            if ask.seen.is_some_and(|rev| list.rev < rev) {
-                let what = format!("told version {} after {:?}", list.rev, ask.seen);
-                self.shared.record_violation(Rule::RegistryForward, format!("watcher of r{first}"), what);
+            let mut tracker = lock(&self.shared.tracker);
+            tracker.invariants.record_check(Rule::RegistryForward);
+            drop(tracker);
+            if request.seen.is_some_and(|rev| list.rev < rev) {
+                let detail = format!("received revision {} after {:?}", list.rev, request.seen);
+                self.shared.record_violation(
+                    Rule::RegistryForward,
+                    format!("watcher of r{first_replica}"),
+                    detail,
+                );
             }
-            let head = ListHeader { incarnation: list.incarnation, rev: list.rev, full: list.all, age };
-            let take = follower.on_response(asked, since(), head);
-            self.take(&seen, take, list);
+            let header = ListHeader { incarnation: list.incarnation, rev: list.rev, full: list.all, age };
+            let update = watch_client.on_response(sent_at, elapsed(), header);
+            self.apply(&state, update, list);
         }
     }
 
-    fn take(&self, seen: &Mutex<Seen>, take: ListUpdate, list: List) {
+    fn apply(&self, state: &Mutex<ClientState>, update: ListUpdate, list: List) {
         let now = self.shared.clock.now();
-        let mut seen = lock(seen);
-        seen.silent = seen.silent.max(seen.last.map_or(0, |last| now - last));
-        seen.last = Some(now);
-        if take == ListUpdate::Ignore {
+        let mut state = lock(state);
+        state.max_silence = state.max_silence.max(state.last_response.map_or(0, |last| now - last));
+        state.last_response = Some(now);
+        if update == ListUpdate::Ignore {
             return;
         }
         let mut gone = Vec::new();
-        if take == ListUpdate::Full {
-            let named: BTreeSet<&String> = list.targets.iter().map(|one| &one.uid).collect();
-            gone.extend(seen.list.keys().filter(|uid| !named.contains(uid)).cloned());
-            seen.list.clear();
+        if update == ListUpdate::Full {
+            let listed: BTreeSet<&String> = list.targets.iter().map(|target| &target.uid).collect();
+            gone.extend(state.list.keys().filter(|uid| !listed.contains(uid)).cloned());
+            state.list.clear();
         }
-        if list.rev > seen.rev && seen.heard.len() < MOST_HEARD {
-            seen.heard.push((list.rev, now));
+        if list.rev > state.rev && state.arrivals.len() < MAX_ARRIVALS {
+            state.arrivals.push((list.rev, now));
         }
-        seen.rev = list.rev;
-        for one in list.targets {
-            if one.state == "Gone" {
-                seen.list.remove(&one.uid);
-                gone.push(one.uid);
+        state.rev = list.rev;
+        for target in list.targets {
+            if target.state == "Gone" {
+                state.list.remove(&target.uid);
+                gone.push(target.uid);
             } else {
-                seen.list.insert(one.uid.clone(), one);
+                state.list.insert(target.uid.clone(), target);
             }
         }
-        drop(seen);
+        drop(state);
         for uid in gone {
             lock(&self.shared.tracker).invariants.record_check(Rule::RegistryBelieves);
-            if lock(&self.register.alive).contains(&uid) {
+            if lock(&self.registrations.renewing).contains(&uid) {
                 self.shared.record_violation(
                     Rule::RegistryBelieves,
                     uid,
-                    "told of as gone, and it renews".to_owned(),
+                    "listed as gone although it renews its lease".to_owned(),
                 );
             }
         }
     }
 
-    /// Holds that what was acknowledged is on the committed list, and that every client has that list soon.
-    pub async fn settle(&self) {
-        let Some(committed) = self.committed().await else {
+    /// Checks that all acknowledged registrations are on the committed list, and that every client gets that list in
+    /// time.
+    pub async fn check_final_lists(&self) {
+        let Some(committed) = self.committed_list().await else {
             self.shared.record_violation(
                 Rule::RegistrySame,
                 "registry".to_owned(),
-                "no replica tells its list".to_owned(),
+                "no replica returns its list".to_owned(),
             );
             return;
         };
-        for uid in lock(&self.register.acknowledged).iter() {
+        for uid in lock(&self.registrations.acknowledged).iter() {
             lock(&self.shared.tracker).invariants.record_check(Rule::RegistryKeeps);
             if !committed.contains_key(uid) {
                 self.shared.record_violation(
                     Rule::RegistryKeeps,
                     uid.clone(),
-                    "acknowledged, and not on the list".to_owned(),
+                    "acknowledged but not on the committed list".to_owned(),
                 );
             }
         }
-        let seen = lock(&self.seen).clone();
-        let same = async {
-            while !seen.iter().all(|seen| lock(seen).list == committed) {
-                sleep(LOOK).await;
+        let clients = lock(&self.clients).clone();
+        let converged = async {
+            while !clients.iter().all(|state| lock(state).list == committed) {
+                sleep(POLL_INTERVAL).await;
             }
         };
-        let settled = timeout(SETTLES, same).await.is_ok();
-        for (number, seen) in seen.iter().enumerate() {
+        let in_time = timeout(CONVERGENCE_TIMEOUT, converged).await.is_ok();
+        for (index, state) in clients.iter().enumerate() {
             lock(&self.shared.tracker).invariants.record_check(Rule::RegistrySame);
-            let own = lock(seen).list.clone();
-            if !settled && own != committed {
-                let what = format!("has {} instances, and {} are on the list", own.len(), committed.len());
-                self.shared.record_violation(Rule::RegistrySame, format!("watcher {number}"), what);
+            let list = lock(state).list.clone();
+            if !in_time && list != committed {
+                let detail =
+                    format!("has {} instances, the committed list has {}", list.len(), committed.len());
+                self.shared.record_violation(Rule::RegistrySame, format!("watcher {index}"), detail);
             }
         }
     }
 
-    /// The newest list that any replica tells, once it tells the same twice: nothing changes any more.
-    async fn committed(&self) -> Option<BTreeMap<String, Target>> {
-        let read = async || {
+    /// The newest list of any replica, once two reads in a row return the same revision.
+    async fn committed_list(&self) -> Option<BTreeMap<String, Target>> {
+        let read_newest = async || {
             let mut newest: Option<List> = None;
-            for at in &self.addresses {
-                let call = Call::get(INSTANCES_PATH, Duration::from_secs(2), MOST_LIST);
-                let Ok(answer) = HttpClient::new(*at).call(&call).await else { continue };
-                let list = serde_json::from_slice::<List>(&answer.body).ok();
+            for address in &self.addresses {
+                let call = Call::get(INSTANCES_PATH, Duration::from_secs(2), MAX_LIST_BYTES);
+                let Ok(response) = HttpClient::new(*address).call(&call).await else { continue };
+                let list = serde_json::from_slice::<List>(&response.body).ok();
                 let newer = |list: &List| newest.as_ref().is_none_or(|newest| list.rev > newest.rev);
                 newest = list.filter(newer).or(newest);
             }
             newest
         };
-        let settles = async {
-            let mut before = None;
+        let stable = async {
+            let mut previous_rev = None;
             loop {
-                let now = read().await;
-                if let Some(list) = now {
-                    if before == Some(list.rev) {
+                let newest = read_newest().await;
+                if let Some(list) = newest {
+                    if previous_rev == Some(list.rev) {
                         return list;
                     }
-                    before = Some(list.rev);
+                    previous_rev = Some(list.rev);
                 }
                 sleep(Duration::from_millis(500)).await;
             }
         };
-        let list = timeout(SETTLES, settles).await.ok()?;
-        Some(list.targets.into_iter().map(|one| (one.uid.clone(), one)).collect())
+        let list = timeout(CONVERGENCE_TIMEOUT, stable).await.ok()?;
+        Some(list.targets.into_iter().map(|target| (target.uid.clone(), target)).collect())
     }
 
-    /// What the clients came to between two times.
-    pub fn account(&self, from: Nanos, to: Nanos) -> Account {
-        let asked = lock(&self.register.asked).clone();
-        let mut account = Account::default();
-        for seen in lock(&self.seen).iter() {
-            let seen = lock(seen);
-            account.silent_ms = account.silent_ms.max(seen.silent as f64 / 1e6);
-            let mut before = 0;
-            for &(rev, at) in &seen.heard {
-                for (_, &began) in
-                    asked.range(before + 1..=rev).filter(|(_, began)| (from..to).contains(*began))
+    /// Measurements of the changes that were sent between two times.
+    pub fn stats(&self, from: Nanos, to: Nanos) -> WatchStats {
+        let sent_at = lock(&self.registrations.sent_at).clone();
+        let mut stats = WatchStats::default();
+        for state in lock(&self.clients).iter() {
+            let state = lock(state);
+            stats.max_silence_ms = stats.max_silence_ms.max(state.max_silence as f64 / 1e6);
+            let mut previous_rev = 0;
+            for &(rev, arrived_at) in &state.arrivals {
+                for (_, &sent_at) in
+                    sent_at.range(previous_rev + 1..=rev).filter(|(_, sent_at)| (from..to).contains(*sent_at))
                 {
-                    // The first list that a client is told holds changes from before its time.
-                    if before > 0 {
-                        account.heard_ms.push(at.saturating_sub(began) as f64 / 1e6);
+                    // The first list of a client contains changes made before the client started.
+                    if previous_rev > 0 {
+                        stats.propagation_ms.push(arrived_at.saturating_sub(sent_at) as f64 / 1e6);
                     }
                 }
-                before = rev;
+                previous_rev = rev;
             }
         }
-        account.heard_ms.sort_by(f64::total_cmp);
-        account
+        stats.propagation_ms.sort_by(f64::total_cmp);
+        stats
     }
 }
 
-impl Account {
-    /// The time within which this share of the changes was known.
-    pub fn heard_by(&self, share: f64) -> Option<f64> {
-        let at = (share * self.heard_ms.len().saturating_sub(1) as f64).round() as usize;
-        self.heard_ms.get(at).copied()
+impl WatchStats {
+    /// Quantile of the propagation time.
+    pub fn propagation_quantile_ms(&self, quantile: f64) -> Option<f64> {
+        let index = (quantile * self.propagation_ms.len().saturating_sub(1) as f64).round() as usize;
+        self.propagation_ms.get(index).copied()
     }
 }
