--- a/rig/src/adapter.rs
+++ b/rig/src/adapter.rs
@@ -1,5 +1,5 @@
-//! Another build's decisions in virtual time: an adapter process that speaks the operators' wire on its standard
-//! input and output, one for each zone. Events of one moment go as a batch; its reply is what the nodes do.
+//! Runs another build's balancers in virtual time through an adapter process, one per zone, that speaks the simulator's
+//! JSON-lines protocol on stdin and stdout. Events of one point in time are sent as a batch; the reply holds the actions.
 
 use std::fmt::Write as _;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -12,32 +12,33 @@
 use flaxdale_model::world::World;
 use serde_json::{Value, json};
 
-/// Lines of one reply, and bytes of one of them, that are taken at most.
-const MOST_LINES: usize = 1_000_000;
-const MOST_LINE: u64 = 1024 * 1024;
-/// Numbers of lists that the wire knows.
-const LISTS: u32 = 16;
+/// Maximum number of lines in one reply.
+const MAX_REPLY_LINES: usize = 1_000_000;
+/// Maximum size of one line of a reply.
+const MAX_LINE_BYTES: u64 = 1024 * 1024;
+/// List numbers of the protocol; they are reused in turn.
+const LIST_NUMBERS: u32 = 16;
 
-/// An adapter process and what it has not been told yet.
+/// An adapter process and the batch of messages that has not been sent to it yet.
 pub struct Adapter {
     child: Child,
-    input: Option<ChildStdin>,
-    output: BufReader<ChildStdout>,
+    stdin: Option<ChildStdin>,
+    stdout: BufReader<ChildStdout>,
     batch: String,
     next_list: u32,
-    version: u64,
+    seq_no: u64,
     zones: Vec<String>,
     kinds: Vec<String>,
     classes: Vec<String>,
     tenants: Vec<String>,
 }
 
-fn line(batch: &mut String, tag: &str, fields: Value) {
-    // Writing to a string does not fail.
+fn push_message(batch: &mut String, tag: &str, fields: Value) {
+    // Writing to a string cannot fail.
     let _ = writeln!(batch, "{}", json!({ tag: fields }));
 }
 
-fn code(outcome: Outcome) -> &'static str {
+fn outcome_code(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Served => "S",
         Outcome::Error => "E",
@@ -50,17 +51,17 @@
     }
 }
 
-fn request_name(request: RequestId) -> String {
+fn request_id(request: RequestId) -> String {
     format!("rq_{}", request.0)
 }
 
-fn number(fields: &Value, key: &str, prefix: &str) -> Result<u64, String> {
+fn parse_id(fields: &Value, key: &str, prefix: &str) -> Result<u64, String> {
     let text = fields[key].as_str().and_then(|text| text.strip_prefix(prefix)?.parse().ok());
-    text.ok_or_else(|| format!("the adapter's {key} is none that it was told: {fields}"))
+    text.ok_or_else(|| format!("unknown {key} in a message of the adapter: {fields}"))
 }
 
 impl Adapter {
-    /// Starts an adapter, by a command for the shell.
+    /// Starts an adapter with a shell command.
     pub fn start(command: &str, world: &World) -> Result<Self, String> {
         let mut child = Command::new("/bin/sh")
             .args(["-c", &format!("exec {command}")])
@@ -69,15 +70,15 @@
             .stderr(Stdio::null())
             .spawn()
             .map_err(|error| format!("{command}: {error}"))?;
-        let (input, output) = (child.stdin.take(), child.stdout.take());
-        let output = BufReader::new(output.ok_or("the adapter has no output")?);
+        let (stdin, stdout) = (child.stdin.take(), child.stdout.take());
+        let stdout = BufReader::new(stdout.ok_or("the adapter has no standard output")?);
         Ok(Self {
             child,
-            input,
-            output,
+            stdin,
+            stdout,
             batch: String::new(),
             next_list: 0,
-            version: 0,
+            seq_no: 0,
             zones: world.zones.clone(),
             kinds: world.kinds.clone(),
             classes: world.classes.iter().map(|class| class.name.clone()).collect(),
@@ -85,7 +86,7 @@
         })
     }
 
-    fn list(&mut self, members: &[Member]) -> u32 {
+    fn push_list(&mut self, members: &[Member]) -> u32 {
         let entry = |member: &Member| {
             let stage = match member.stage {
                 Stage::InService => "in_service",
@@ -98,56 +99,59 @@
         };
         let entries: Vec<Value> = members.iter().map(entry).collect();
         let list = self.next_list;
-        self.next_list = (list + 1) % LISTS;
-        line(&mut self.batch, "MANIFEST", json!({"list": list, "members-list": entries}));
+        self.next_list = (list + 1) % LIST_NUMBERS;
+        push_message(&mut self.batch, "MANIFEST", json!({"list": list, "members-list": entries}));
         list
     }
 
-    fn settled(&mut self, who: usize, settled: &AttemptResult) {
-        let usage = settled.report.util.map(|util| json!({"load_share": util, "util": util}));
-        let fields = json!({"who": who, "request-id": request_name(settled.request), "try": settled.attempt,
-            "backend": Value::Null, "disposition": code(settled.outcome), "elapsed-ns": settled.elapsed,
-            "no-more": settled.request_ended, "usage": usage});
-        line(&mut self.batch, "SETTLED", fields);
+    fn push_result(&mut self, who: usize, result: &AttemptResult) {
+        let usage = result.report.util.map(|util| json!({"load_share": util, "util": util}));
+        let fields = json!({"who": who, "request-id": request_id(result.request), "try": result.attempt,
+            "backend": Value::Null, "disposition": outcome_code(result.outcome), "elapsed-ns": result.elapsed,
+            "no-more": result.request_ended, "usage": usage});
+        push_message(&mut self.batch, "SETTLED", fields);
     }
 
     fn read_reply(&mut self, actions: &mut Vec<(usize, Action)>) -> Result<(), String> {
         let mut text = String::new();
-        for _ in 0..MOST_LINES {
+        for _ in 0..MAX_REPLY_LINES {
             text.clear();
-            let read = (&mut self.output).take(MOST_LINE).read_line(&mut text);
+            let read = (&mut self.stdout).take(MAX_LINE_BYTES).read_line(&mut text);
             if read.map_err(|error| error.to_string())? == 0 {
-                return Err("the adapter ended in the middle of a run".to_owned());
+                return Err("the adapter closed its standard output during a run".to_owned());
             }
-            let value: Value =
-                serde_json::from_str(&text).map_err(|error| format!("the adapter's line: {error}"))?;
+            let value: Value = serde_json::from_str(&text)
+                .map_err(|error| format!("invalid JSON from the adapter: {error}"))?;
             let Some((tag, fields)) = value.as_object().and_then(|object| object.iter().next()) else {
-                return Err(format!("the adapter's line is no message: {text}"));
+                return Err(format!("the adapter sent a line that is not a message: {text}"));
             };
             if tag == "YIELD" {
                 return Ok(());
             }
-            let who = fields["who"].as_u64().ok_or_else(|| format!("no instance in {text}"))? as usize;
-            let whole = |key: &str| fields[key].as_u64().unwrap_or(0);
-            let request = || number(fields, "request-id", "rq_").map(RequestId);
+            let who = fields["who"]
+                .as_u64()
+                .ok_or_else(|| format!("field who missing in the adapter's message: {text}"))?
+                as usize;
+            let integer = |key: &str| fields[key].as_u64().unwrap_or(0);
+            let request = || parse_id(fields, "request-id", "rq_").map(RequestId);
             let action = match tag.as_str() {
                 "PLACE" => Action::Send {
                     request: request()?,
-                    backend: BackendId(number(fields, "backend", "b_")? as u32),
-                    timeout: Some(whole("max-wait-ns")).filter(|wait| *wait > 0),
+                    backend: BackendId(parse_id(fields, "backend", "b_")? as u32),
+                    timeout: Some(integer("max-wait-ns")).filter(|timeout| *timeout > 0),
                     send_by: None,
                 },
-                "DECLINE" => Action::Reject { request: request()?, retry_after: whole("pause-ns") },
+                "DECLINE" => Action::Reject { request: request()?, retry_after: integer("pause-ns") },
                 "END_FAILED" => Action::Fail { request: request()? },
-                "RECALL" => Action::Cancel { request: request()?, attempt: whole("try") as u32 },
-                "DEFER" => Action::Timer { after: whole("from-now-ns"), token: whole("name") },
-                "DIE" => return Err(format!("the adapter gave up: {}", fields["note-text"])),
-                // The list is pushed, no probes are made, and remarks are for people.
+                "RECALL" => Action::Cancel { request: request()?, attempt: integer("try") as u32 },
+                "DEFER" => Action::Timer { after: integer("from-now-ns"), token: integer("name") },
+                "DIE" => return Err(format!("the adapter reported a fatal error: {}", fields["note-text"])),
+                // Lists are pushed and probes are not simulated, so queries are ignored; remarks are informational.
                 _ => continue,
             };
             actions.push((who, action));
         }
-        Err("the adapter's reply has no end".to_owned())
+        Err("the adapter's reply has too many lines".to_owned())
     }
 }
 
@@ -155,66 +159,80 @@
     fn open(&mut self, node: usize, settings: &Value, seed: u64, _: Nanos) -> Result<(), String> {
         let mut config = settings.clone();
         config["me"] = json!(node);
-        // The wire's numbers have 63 bits.
-        line(&mut self.batch, "OPEN_INSTANCE", json!({"who": node, "nonce64": seed >> 1, "config": config}));
+        // Integers of the protocol have 63 bits.
+        push_message(
+            &mut self.batch,
+            "OPEN_INSTANCE",
+            json!({"who": node, "nonce64": seed >> 1, "config": config}),
+        );
         Ok(())
     }
 
     fn close(&mut self, node: usize) {
-        line(&mut self.batch, "EXIT", json!({ "who": node }));
+        push_message(&mut self.batch, "EXIT", json!({ "who": node }));
     }
 
     fn handle(&mut self, node: usize, _: Nanos, event: Event, _: &mut Vec<(usize, Action)>) {
         match event {
-            // An instance that was opened has started; the wire knows neither probes nor an operator's orders.
+            // OPEN_INSTANCE implies the start; the protocol has neither probes nor zone overrides.
             Event::Start | Event::ProbeEnded { .. } | Event::ZoneOverrides(_) => {}
             Event::BackendList { scope, members } => {
-                let list = self.list(&members);
+                let list = self.push_list(&members);
                 let mode = match scope {
                     ListScope::Changes => "delta",
                     ListScope::Full => "full",
                     ListScope::Cached => "cached",
                 };
-                self.version += 1;
-                let fields = json!({"who": node, "mode": mode, "seq-no": self.version, "list": list});
-                line(&mut self.batch, "FLEET", fields);
+                self.seq_no += 1;
+                let fields = json!({"who": node, "mode": mode, "seq-no": self.seq_no, "list": list});
+                push_message(&mut self.batch, "FLEET", fields);
             }
             Event::DiscoveryFailed => {
-                let fields = json!({"who": node, "mode": "failed", "seq-no": self.version, "list": 0});
-                line(&mut self.batch, "FLEET", fields);
+                let fields = json!({"who": node, "mode": "failed", "seq-no": self.seq_no, "list": 0});
+                push_message(&mut self.batch, "FLEET", fields);
             }
             Event::Request(arrival) => {
                 let tenant = arrival.tenant.and_then(|tenant| self.tenants.get(tenant as usize));
-                let fields = json!({"who": node, "request-id": request_name(arrival.request), "options": 0,
+                let fields = json!({"who": node, "request-id": request_id(arrival.request), "options": 0,
                     "band": self.classes[arrival.class.0 as usize], "org": tenant,
                     "not-after-ns": arrival.not_after});
-                line(&mut self.batch, "INCOMING", fields);
+                push_message(&mut self.batch, "INCOMING", fields);
             }
-            Event::AttemptEnded(settled) => self.settled(node, &settled),
+            Event::AttemptEnded(result) => self.push_result(node, &result),
             Event::ResponseStarted { request } => {
-                line(&mut self.batch, "ACK_FIRST", json!({"who": node, "request-id": request_name(request)}));
+                push_message(
+                    &mut self.batch,
+                    "ACK_FIRST",
+                    json!({"who": node, "request-id": request_id(request)}),
+                );
             }
             Event::ClientDisconnected { request } => {
-                line(&mut self.batch, "LEFT", json!({"who": node, "request-id": request_name(request)}));
+                push_message(
+                    &mut self.batch,
+                    "LEFT",
+                    json!({"who": node, "request-id": request_id(request)}),
+                );
+            }
+            Event::Timer { token } => {
+                push_message(&mut self.batch, "WAKEUP", json!({"who": node, "name": token}))
             }
-            Event::Timer { token } => line(&mut self.batch, "WAKEUP", json!({"who": node, "name": token})),
         }
     }
 
     fn flush(&mut self, now: Nanos, actions: &mut Vec<(usize, Action)>) -> Result<(), String> {
         let batch = std::mem::take(&mut self.batch);
         let text = format!("{}\n{batch}{}\n", json!({"BATCH": {"sim-time-ns": now}}), json!({"GO": {}}));
-        let input = self.input.as_mut().ok_or("the adapter has no input")?;
-        let sent = input.write_all(text.as_bytes()).and_then(|()| input.flush());
-        sent.map_err(|error| format!("the adapter takes nothing more: {error}"))?;
+        let stdin = self.stdin.as_mut().ok_or("the adapter has no standard input")?;
+        let sent = stdin.write_all(text.as_bytes()).and_then(|()| stdin.flush());
+        sent.map_err(|error| format!("cannot write to the adapter: {error}"))?;
         self.read_reply(actions)
     }
 }
 
 impl Drop for Adapter {
     fn drop(&mut self) {
-        // It ends with its input; one that does not is ended.
-        self.input.take();
+        // The adapter exits at the end of its input; it is killed if it does not within 1 s.
+        self.stdin.take();
         for _ in 0..100 {
             if matches!(self.child.try_wait(), Ok(Some(_)) | Err(_)) {
                 return;
--- a/rig/src/shared.rs
+++ b/rig/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the parties of a run on sockets share: the world, the clock, the book and what has happened.
+//! State shared by all components of a run on sockets: world, clock, request tracking, statistics and events.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, RwLock};
@@ -14,126 +14,126 @@
 use serde_json::{Value, json};
 use tokio::sync::watch;
 
-/// Events that are kept; what comes after is counted only.
-const MOST_EVENTS: usize = 200_000;
+/// Maximum number of recorded events; later ones are only logged.
+const MAX_EVENTS: usize = 200_000;
 
-/// Takes a lock also if somebody panicked with it: what is in it was whole after each call.
-pub fn lock<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
-    of.lock().unwrap_or_else(PoisonError::into_inner)
+/// Locks a mutex and ignores poisoning: the guarded data is consistent after each call.
+pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A request as the servers have to know it.
+/// What the emulated servers need to know about a request beyond its headers.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestInfo {
-    /// The node that it was sent to.
+    /// Node that the client sent it to.
     pub node: usize,
-    /// Work on a standard core, in nanoseconds.
+    /// CPU time on a core of standard speed, in nanoseconds.
     pub work: f64,
-    /// Waits on others.
+    /// Time spent waiting for I/O.
     pub io_wait: Nanos,
-    /// When its client gives up.
+    /// When the client gives up.
     pub not_after: Nanos,
-    /// Of a keyed one, its key and for how long its repeats are dropped.
+    /// For keyed requests, the idempotency key and the deduplication window.
     pub dedup_key: Option<(u64, Nanos)>,
 }
 
-/// The rules' book, with what the servers have to know of each request.
+/// Rule checks and the state of requests in flight.
 pub struct RequestTracker {
-    /// The book.
+    /// Checks the rules of a run.
     pub invariants: InvariantChecker,
-    /// The requests of late, by id.
+    /// Recent requests by id.
     pub requests: HashMap<u64, RequestInfo>,
-    /// What the groups of servers have seen.
+    /// Idempotency keys seen by each group of servers.
     pub dedup: DedupTable,
 }
 
-/// What the parties share.
+/// State shared by the components of a run.
 pub struct Shared {
-    /// The world.
+    /// Fleet, load and faults sampled from the scenario.
     pub world: World,
     timeline: RwLock<Arc<Timeline>>,
-    /// The clock.
+    /// Time source of the run.
     pub clock: Clock,
-    /// The book.
+    /// Requests in flight and rule checks.
     pub tracker: Mutex<RequestTracker>,
-    /// What the requests come to.
+    /// Outcomes and latencies of the requests.
     pub stats: Mutex<RunStats>,
-    /// How late the rig itself was, in microseconds.
+    /// How late the rig sent requests, in microseconds.
     pub lateness: Mutex<Histogram<u64>>,
-    /// When each node was told that a process drains or is gone, by its number.
+    /// For each node, when it was notified that a server instance is draining or gone.
     pub notified_drains: Vec<Mutex<HashMap<u32, Nanos>>>,
-    /// The last start of each process that each node was told of, in the same way.
+    /// For each node, the latest start time of each server instance that it was notified of.
     pub notified_starts: Vec<Mutex<HashMap<u32, Nanos>>>,
-    /// Whether the load has begun.
+    /// Whether the load has started.
     pub load_started: watch::Sender<bool>,
     events: Mutex<Vec<Value>>,
 }
 
 impl Shared {
-    /// Nothing has happened yet.
-    pub fn new(world: World, timeline: Timeline, clock: Clock, ledger: InvariantChecker) -> Self {
-        let tally = RunStats::new(&world, timeline.start);
-        let of_nodes = || world.nodes.iter().map(|_| Mutex::default()).collect();
-        let (drains, starts) = (of_nodes(), of_nodes());
-        let lateness = Histogram::new(3).unwrap_or_else(|_| unreachable!("three digits are fine"));
+    /// Creates the state of a run whose load has not started.
+    pub fn new(world: World, timeline: Timeline, clock: Clock, invariants: InvariantChecker) -> Self {
+        let stats = RunStats::new(&world, timeline.start);
+        let one_per_node = || world.nodes.iter().map(|_| Mutex::default()).collect();
+        let (notified_drains, notified_starts) = (one_per_node(), one_per_node());
+        let lateness = Histogram::new(3).unwrap_or_else(|_| unreachable!("3 significant digits are valid"));
         Self {
             world,
             clock,
             tracker: Mutex::new(RequestTracker {
-                invariants: ledger,
+                invariants,
                 requests: HashMap::new(),
                 dedup: DedupTable::default(),
             }),
-            stats: Mutex::new(tally),
+            stats: Mutex::new(stats),
             lateness: Mutex::new(lateness),
-            notified_drains: drains,
-            notified_starts: starts,
+            notified_drains,
+            notified_starts,
             load_started: watch::Sender::new(false),
             events: Mutex::default(),
             timeline: RwLock::new(Arc::new(timeline)),
         }
     }
 
-    /// What is known of the world beforehand. Until the load starts its start lies far ahead.
+    /// Schedule of faults and list changes. Before the load starts, its start time is a placeholder far in the future.
     pub fn timeline(&self) -> Arc<Timeline> {
         self.timeline.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// The load starts then: faults and the list's changes count from it.
-    pub fn start_load(&self, start: Nanos, ledger: InvariantChecker) {
+    /// Starts the load; times of faults and list changes are relative to `start`.
+    pub fn start_load(&self, start: Nanos, invariants: InvariantChecker) {
         let timeline = Timeline::new(&self.world, start);
         *self.timeline.write().unwrap_or_else(PoisonError::into_inner) = Arc::new(timeline);
         *lock(&self.stats) = RunStats::new(&self.world, start);
-        lock(&self.tracker).invariants = ledger;
+        lock(&self.tracker).invariants = invariants;
         self.load_started.send_replace(true);
     }
 
-    /// Milliseconds since the start of the load; negative before.
+    /// Milliseconds from the start of the load to `at`; negative before the start.
     pub fn run_time_ms(&self, at: Nanos) -> f64 {
         (at as f64 - self.timeline().start as f64) / 1e6
     }
 
-    /// Notes what has happened, now.
+    /// Records an event at the current time.
     pub fn record_event(&self, kind: &str, mut fields: Value) {
-        // Before the load begins there is nothing to count from.
+        // Events before the start of the load have time 0.
         let at = if *self.load_started.borrow() { self.run_time_ms(self.clock.now()) } else { 0.0 };
         fields["at_ms"] = json!((at * 10.0).round() / 10.0);
         fields["kind"] = json!(kind);
         tracing::debug!(kind, fields = %fields, "event");
         let mut events = lock(&self.events);
-        if events.len() < MOST_EVENTS {
+        if events.len() < MAX_EVENTS {
             events.push(fields);
         }
     }
 
-    /// All that has happened, in order.
+    /// All recorded events in order.
     pub fn events(&self) -> Vec<Value> {
         lock(&self.events).clone()
     }
 
-    /// Notes a broken rule, and an event with it.
-    pub fn record_violation(&self, rule: Rule, id: String, what: String) {
-        self.record_event("breach", json!({"rule": rule.name(), "id": id, "what": what}));
-        lock(&self.tracker).invariants.record_violation(rule, id, self.clock.now(), what);
+    /// Records a rule violation and a corresponding event.
+    pub fn record_violation(&self, rule: Rule, id: String, detail: String) {
+        self.record_event("breach", json!({"rule": rule.name(), "id": id, "what": detail}));
+        lock(&self.tracker).invariants.record_violation(rule, id, self.clock.now(), detail);
     }
 }
