--- a/rig/src/servers.rs
+++ b/rig/src/servers.rs
@@ -1,5 +1,5 @@
-//! Emulated app servers on sockets, by the protocol page: the model decides what becomes of each request, this file
-//! carries it over HTTP. Each is a listener, its connections, and a task that wakes when something ends.
+//! Emulated app servers on sockets. The server model decides the outcome of each request and this module speaks HTTP.
+//! Each server has a listener, its connections, and a task that completes jobs of the model when they end.
 
 use std::collections::HashMap;
 use std::convert::Infallible;
@@ -30,349 +30,361 @@
 use crate::listener::SwitchableListener;
 use crate::shared::{RequestInfo, Shared, lock};
 
-/// The protocol's bound of a body.
-const MAX_BODY: usize = 64 * 1024;
-/// A connection that stands idle for this long is closed, as the settings tell the nodes.
-const IDLE: Duration = Duration::from_secs(15);
+/// Maximum size of a request body in the protocol.
+const MAX_BODY_BYTES: usize = 64 * 1024;
+/// Idle connections are closed after this time; the settings of the nodes name the same limit.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// What a server's machine does.
+/// State of the host of a server instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Machine {
-    /// It serves.
+enum HostState {
+    /// The process runs and is reachable.
     Up,
-    /// It says nothing at all, to nobody.
-    Silent,
-    /// It refuses connections: no process listens.
+    /// Packets to the host go unanswered.
+    Unreachable,
+    /// The host refuses connections because no process listens.
     Down,
 }
 
-struct Inside {
+struct ServerState {
     server: Server,
-    waiting: HashMap<u64, oneshot::Sender<JobOutcome>>,
-    luck: ChaCha12Rng,
+    pending: HashMap<u64, oneshot::Sender<JobOutcome>>,
+    rng: ChaCha12Rng,
 }
 
-/// One process of an app server.
+/// One instance of an app server: one lifetime of its process.
 pub struct AppServer {
-    /// Its number among all processes.
+    /// Index of the instance in the timeline.
     pub instance: u32,
-    place: usize,
+    /// Index of the server in the world.
+    server_index: usize,
     address: SocketAddr,
     shared: Arc<Shared>,
-    inside: Mutex<Inside>,
-    machine: watch::Sender<Machine>,
+    state: Mutex<ServerState>,
+    host_state: watch::Sender<HostState>,
     wake: Notify,
     next_job: AtomicU64,
-    /// When its process started, if that was after the run began.
+    /// When the process started; `None` if it has been up since the start of the run.
     started_at: Mutex<Option<Nanos>>,
-    /// Whether it is to drain.
     draining: AtomicBool,
 }
 
-/// Whether a process is there from the start.
+/// Whether an instance runs from the start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InitialState {
-    /// Up and warm.
+    /// Running, past its slow start.
     Up,
-    /// It starts later.
+    /// Not running until [`AppServer::start`].
     Down,
 }
 
 impl AppServer {
-    /// Opens a server's port and starts its tasks; they end with the runtime.
-    pub fn spawn(shared: Arc<Shared>, instance: u32, first: InitialState) -> std::io::Result<Arc<Self>> {
-        let place = shared.timeline().instances[instance as usize].server;
-        let listener = if first == InitialState::Up {
+    /// Binds the port of an instance and spawns its tasks; they run until the runtime shuts down.
+    pub fn spawn(
+        shared: Arc<Shared>,
+        instance: u32,
+        initial_state: InitialState,
+    ) -> std::io::Result<Arc<Self>> {
+        let server_index = shared.timeline().instances[instance as usize].server;
+        let listener = if initial_state == InitialState::Up {
             SwitchableListener::bind()?
         } else {
             SwitchableListener::bind_refusing()?
         };
-        let mut server = Server::new(shared.world.servers[place].spec, shared.clock.now());
-        if first == InitialState::Down {
+        let mut server = Server::new(shared.world.servers[server_index].spec, shared.clock.now());
+        if initial_state == InitialState::Down {
             server.stop(shared.clock.now());
         }
-        let luck = rng_stream(shared.world.seed, 50_000 + u64::from(instance));
-        let machine = if first == InitialState::Up { Machine::Up } else { Machine::Down };
-        let own = Arc::new(Self {
+        let rng = rng_stream(shared.world.seed, 50_000 + u64::from(instance));
+        let host_state = if initial_state == InitialState::Up { HostState::Up } else { HostState::Down };
+        let app_server = Arc::new(Self {
             instance,
-            place,
+            server_index,
             address: listener.address(),
             shared,
-            inside: Mutex::new(Inside { server, waiting: HashMap::new(), luck }),
-            machine: watch::Sender::new(machine),
+            state: Mutex::new(ServerState { server, pending: HashMap::new(), rng }),
+            host_state: watch::Sender::new(host_state),
             wake: Notify::new(),
             next_job: AtomicU64::new(0),
             started_at: Mutex::default(),
             draining: AtomicBool::new(false),
         });
-        tokio::spawn(own.clone().take_connections(listener, machine));
-        tokio::spawn(own.clone().keep_time());
-        Ok(own)
+        tokio::spawn(app_server.clone().accept_connections(listener, host_state));
+        tokio::spawn(app_server.clone().complete_jobs());
+        Ok(app_server)
     }
 
-    /// Where it listens.
+    /// Listening address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Its name on the list.
+    /// Unique id in the backend list.
     pub fn uid(&self) -> String {
         uid(self.instance)
     }
 
-    /// Its process dies: connections break, new ones are refused.
+    /// Kills the process: open connections are closed, new ones refused.
     pub fn kill(&self) {
-        let held = lock(&self.inside).server.stop(self.shared.clock.now());
-        self.lost(&held);
-        lock(&self.inside).waiting.clear();
-        self.machine.send_replace(Machine::Down);
+        let lost_jobs = lock(&self.state).server.stop(self.shared.clock.now());
+        self.release_keys(&lost_jobs);
+        lock(&self.state).pending.clear();
+        self.host_state.send_replace(HostState::Down);
     }
 
-    /// A process starts, cold.
+    /// Starts the process in slow start.
     pub fn start(&self) {
-        let held = lock(&self.inside).server.start(self.shared.clock.now(), true);
-        self.lost(&held);
+        let lost_jobs = lock(&self.state).server.start(self.shared.clock.now(), true);
+        self.release_keys(&lost_jobs);
         *lock(&self.started_at) = Some(self.shared.clock.now());
-        self.machine.send_replace(Machine::Up);
+        self.host_state.send_replace(HostState::Up);
     }
 
-    /// What a process held is forgotten with it, and may run again elsewhere in its group.
-    fn lost(&self, held: &[Job]) {
-        let keys = &mut lock(&self.shared.tracker).dedup;
-        held.iter().for_each(|job| keys.job_ended((self.instance, job.id), false));
+    /// Releases the idempotency keys of lost jobs, so that another server of the group may run the requests.
+    fn release_keys(&self, lost_jobs: &[Job]) {
+        let dedup = &mut lock(&self.shared.tracker).dedup;
+        lost_jobs.iter().for_each(|job| dedup.job_ended((self.instance, job.id), false));
     }
 
-    /// Its machine says nothing more, or speaks again; what was open meets a reset then.
-    pub fn silence(&self, silent: bool) {
-        let change = |machine: &mut Machine| {
-            let wanted = if silent { Machine::Silent } else { Machine::Up };
-            let changed = *machine != Machine::Down && *machine != wanted;
+    /// Makes the host unreachable or reachable again; connections from before are reset when it comes back.
+    pub fn set_unreachable(&self, unreachable: bool) {
+        let change = |host_state: &mut HostState| {
+            let wanted = if unreachable { HostState::Unreachable } else { HostState::Up };
+            let changed = *host_state != HostState::Down && *host_state != wanted;
             if changed {
-                *machine = wanted;
+                *host_state = wanted;
             }
             changed
         };
-        self.machine.send_if_modified(change);
+        self.host_state.send_if_modified(change);
     }
 
-    /// It is told to drain; what it has to do about that is its own part towards the registry.
+    /// Marks the instance as draining; its registrant reports that to the registry.
     pub fn drain(&self) {
         self.draining.store(true, Ordering::Relaxed);
     }
 
-    /// Whether it was told to drain.
+    /// Whether the instance was told to drain.
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::Relaxed)
     }
 
-    /// Whether its process runs and its machine speaks.
+    /// Whether the process runs and its host is reachable.
     pub fn is_reachable(&self) -> bool {
-        self.is_up() && *self.machine.borrow() == Machine::Up
+        self.is_up() && *self.host_state.borrow() == HostState::Up
     }
 
-    /// When its process started, if that was after the run began.
+    /// When the process started; `None` if it has been up since the start of the run.
     pub fn started_at(&self) -> Option<Nanos> {
         *lock(&self.started_at)
     }
 
-    /// Whether its process runs.
+    /// Whether the process runs.
     pub fn is_up(&self) -> bool {
-        lock(&self.inside).server.is_up()
+        lock(&self.state).server.is_up()
     }
 
-    /// Whether crowding has turned it slow.
+    /// Whether congestion slows the server down.
     pub fn is_congested(&self) -> bool {
-        lock(&self.inside).server.is_congested()
+        lock(&self.state).server.is_congested()
     }
 
-    /// Begins or ends a fault.
-    pub fn set_fault(&self, ailment: ServerFault) {
-        lock(&self.inside).server.set_fault(self.shared.clock.now(), ailment);
+    /// Replaces the active fault of the server.
+    pub fn set_fault(&self, fault: ServerFault) {
+        lock(&self.state).server.set_fault(self.shared.clock.now(), fault);
         self.wake.notify_one();
     }
 
-    async fn take_connections(self: Arc<Self>, mut listener: SwitchableListener, mut machine: Machine) {
-        let mut wanted = self.machine.subscribe();
-        let mut open = JoinSet::new();
+    async fn accept_connections(
+        self: Arc<Self>,
+        mut listener: SwitchableListener,
+        mut host_state: HostState,
+    ) {
+        let mut host_states = self.host_state.subscribe();
+        let mut connections = JoinSet::new();
         loop {
             tokio::select! {
                 biased;
-                changed = wanted.changed() => {
+                changed = host_states.changed() => {
                     if changed.is_err() {
                         return;
                     }
-                    let next = *wanted.borrow_and_update();
-                    let done = match next {
-                        Machine::Up => listener.reopen(),
-                        Machine::Down => listener.refuse(),
-                        Machine::Silent => listener.silence().await,
+                    let next = *host_states.borrow_and_update();
+                    let switched = match next {
+                        HostState::Up => listener.reopen(),
+                        HostState::Down => listener.refuse(),
+                        HostState::Unreachable => listener.silence().await,
                     };
-                    // A port lost to another program on this machine is no fault of the node's.
-                    if let Err(error) = done {
+                    // A port lost to another process on this machine is a problem of the rig, not of the node.
+                    if let Err(error) = switched {
                         let (server, cause) = (self.uid(), error.to_string());
                         self.shared.record_event("rig-trouble", json!({"server": server, "cause": cause}));
                     }
-                    // What a vanished machine had open stays open and silent until it is back.
-                    if next == Machine::Down || machine == Machine::Silent {
-                        open.abort_all();
+                    // Connections of an unreachable host stay open without answers until it comes back.
+                    if next == HostState::Down || host_state == HostState::Unreachable {
+                        connections.abort_all();
                     }
-                    machine = next;
+                    host_state = next;
                 }
                 accepted = listener.accept() => {
                     let Ok(stream) = accepted else { continue };
-                    if lock(&self.inside).server.connect(self.shared.clock.now()) {
-                        open.spawn(self.clone().converse(stream));
+                    if lock(&self.state).server.connect(self.shared.clock.now()) {
+                        connections.spawn(self.clone().serve_connection(stream));
                     }
                 }
-                Some(_) = open.join_next(), if !open.is_empty() => {}
+                Some(_) = connections.join_next(), if !connections.is_empty() => {}
             }
         }
     }
 
-    async fn converse(self: Arc<Self>, stream: TcpStream) {
-        // Counts the connection out, however its task ends.
-        struct Counted(Arc<AppServer>, u64);
-        impl Drop for Counted {
+    async fn serve_connection(self: Arc<Self>, stream: TcpStream) {
+        // Reports the disconnect to the model also if the task is aborted.
+        struct ConnectionGuard(Arc<AppServer>, u64);
+        impl Drop for ConnectionGuard {
             fn drop(&mut self) {
-                let server = &mut lock(&self.0.inside).server;
+                let server = &mut lock(&self.0.state).server;
                 if server.epoch() == self.1 {
                     server.disconnect(self.0.shared.clock.now());
                 }
             }
         }
-        let epoch = lock(&self.inside).server.epoch();
-        let _counted = Counted(self.clone(), epoch);
+        let epoch = lock(&self.state).server.epoch();
+        let _guard = ConnectionGuard(self.clone(), epoch);
         let _ = stream.set_nodelay(true);
-        let fresh = AtomicBool::new(true);
-        let service = service_fn(|request| self.answer(request, fresh.swap(false, Ordering::Relaxed)));
-        // A connection that breaks is the node's doing, and shows in what becomes of its request.
+        let first_request = AtomicBool::new(true);
+        let service =
+            service_fn(|request| self.handle(request, first_request.swap(false, Ordering::Relaxed)));
+        // Connection errors are ignored here: they show in the outcome of the request.
         let _ = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(IDLE)
+            .header_read_timeout(IDLE_TIMEOUT)
             .serve_connection(TokioIo::new(stream), service)
             .await;
     }
 
-    async fn answer(
+    async fn handle(
         &self,
         request: Request<Incoming>,
-        fresh: bool,
+        new_connection: bool,
     ) -> Result<Response<Full<Bytes>>, Infallible> {
         let (head, body) = request.into_parts();
-        let plain = |status: StatusCode, text: &str| {
+        let respond = |status: StatusCode, text: &str| {
             let mut response = Response::new(Full::new(Bytes::copy_from_slice(text.as_bytes())));
             *response.status_mut() = status;
             Ok(response)
         };
         let Some(id) = head.headers.get("x-call-id") else {
-            return plain(StatusCode::NOT_FOUND, "no id");
+            return respond(StatusCode::NOT_FOUND, "no id");
         };
         let id = id.to_str().ok().and_then(|text| u64::from_str_radix(text, 16).ok());
-        let Some((id, known)) = id.and_then(|id| Some((id, *lock(&self.shared.tracker).requests.get(&id)?)))
+        let Some((id, info)) = id.and_then(|id| Some((id, *lock(&self.shared.tracker).requests.get(&id)?)))
         else {
             lock(&self.shared.tracker).invariants.record_check(Rule::KnownOnly);
-            let what = format!("{} got an id that nobody sent", self.uid());
+            let detail = format!("{} received a request id that no client has sent", self.uid());
             self.shared.record_violation(
                 Rule::KnownOnly,
                 format!("{:?}", head.headers.get("x-call-id")),
-                what,
+                detail,
             );
-            return plain(StatusCode::BAD_REQUEST, "unknown id");
+            return respond(StatusCode::BAD_REQUEST, "unknown id");
         };
-        if Limited::new(body, MAX_BODY).collect().await.is_err() {
-            return plain(StatusCode::BAD_REQUEST, "the body did not arrive");
+        if Limited::new(body, MAX_BODY_BYTES).collect().await.is_err() {
+            return respond(StatusCode::BAD_REQUEST, "the body did not arrive");
         }
-        let (response, way) = self.serve(id, known, fresh).await;
-        self.travel(way).await;
+        let (response, delay) = self.process(id, info, new_connection).await;
+        self.network_delay(delay).await;
         Ok(response)
     }
 
-    /// A message's way between two zones. Shorter ones than the runtime's clock can tell take no time.
-    async fn travel(&self, way: Nanos) {
-        if way >= MS {
-            tokio::time::sleep(Duration::from_nanos(way)).await;
+    /// Waits for the network delay of a message. Delays below the timer resolution of the runtime are skipped.
+    async fn network_delay(&self, delay: Nanos) {
+        if delay >= MS {
+            tokio::time::sleep(Duration::from_nanos(delay)).await;
         }
     }
 
-    async fn serve(&self, id: u64, known: RequestInfo, fresh: bool) -> (Response<Full<Bytes>>, Nanos) {
+    async fn process(
+        &self,
+        id: u64,
+        info: RequestInfo,
+        new_connection: bool,
+    ) -> (Response<Full<Bytes>>, Nanos) {
         let shared = &self.shared;
-        let spec = shared.world.servers[self.place].spec;
-        let way = shared.world.one_way_delay(shared.world.nodes[known.node].zone, spec.zone);
+        let spec = shared.world.servers[self.server_index].spec;
+        let delay = shared.world.one_way_delay(shared.world.nodes[info.node].zone, spec.zone);
         let now = shared.clock.now();
-        let drains = lock(&shared.notified_drains[known.node]).get(&self.instance).copied();
-        let booked =
-            lock(&shared.tracker).invariants.attempt_arrived(id, self.instance, spec.cell, drains, now);
+        let notified_drain = lock(&shared.notified_drains[info.node]).get(&self.instance).copied();
+        let attempt = lock(&shared.tracker).invariants.attempt_arrived(
+            id,
+            self.instance,
+            spec.cell,
+            notified_drain,
+            now,
+        );
         let job = self.next_job.fetch_add(1, Ordering::Relaxed);
-        let mut out = Out { of: self, id, booked, job, ran: true };
-        self.travel(if fresh { 4 * way } else { way }).await;
-        let (end, answer) = oneshot::channel();
-        let (offer, repeat) = {
+        let mut guard = AttemptGuard { app_server: self, id, attempt, job, ran: true };
+        self.network_delay(if new_connection { 4 * delay } else { delay }).await;
+        let (sender, receiver) = oneshot::channel();
+        let (admission, is_duplicate) = {
             let now = shared.clock.now();
-            let mut inside = lock(&self.inside);
-            let (fell, cold) = (inside.server.has_crashed(), inside.server.capacity_share(now) < 1.0);
-            let luck = inside.luck.random();
-            let RequestInfo { work, io_wait: wait, not_after, dedup_key: key, .. } = known;
+            let mut state = lock(&self.state);
+            let (had_crashed, in_slow_start) =
+                (state.server.has_crashed(), state.server.capacity_share(now) < 1.0);
+            let failure_draw = state.rng.random();
+            let RequestInfo { work, io_wait, not_after, dedup_key: key, .. } = info;
             let key = key.map(|(key, window)| (DedupKey { cell: spec.cell, key }, window));
-            // The rig does not know when the fleet's own registry told a node: it counts as told.
-            let told_start = match shared.world.replicas {
-                0 => lock(&shared.notified_starts[known.node]).get(&self.instance).copied(),
-                _ => inside.server.started_at(),
+            // With a real registry the rig cannot see when a node was notified: nodes count as notified at once.
+            let known_start = match shared.world.replicas {
+                0 => lock(&shared.notified_starts[info.node]).get(&self.instance).copied(),
+                _ => state.server.started_at(),
             };
-            let mut book = lock(&shared.tracker);
-            let repeat = inside.server.would_respond(luck)
-                && key.is_some_and(|(key, _)| book.dedup.is_duplicate(key, now));
-            let offer = if repeat {
+            let mut tracker = lock(&shared.tracker);
+            let is_duplicate = state.server.would_respond(failure_draw)
+                && key.is_some_and(|(key, _)| tracker.dedup.is_duplicate(key, now));
+            let admission = if is_duplicate {
                 Admission::Accepted
             } else {
-                let job = Job {
-                    id: job,
-                    sender: 0,
-                    work,
-                    io_wait: wait,
-                    not_after,
-                    failure_draw: luck,
-                    known_start: told_start,
-                };
-                inside.server.submit(now, job, fresh)
+                let job = Job { id: job, sender: 0, work, io_wait, not_after, failure_draw, known_start };
+                state.server.submit(now, job, new_connection)
             };
             match key {
-                _ if offer != Admission::Accepted => {}
-                // Its group has it already: it is answered, and not run again.
-                _ if repeat => drop(end.send(JobOutcome::Served)),
+                _ if admission != Admission::Accepted => {}
+                // The group has run or is running the request already: it is answered without running again.
+                _ if is_duplicate => drop(sender.send(JobOutcome::Served)),
                 Some((key, window)) => {
-                    book.dedup.insert(key, (self.instance, job), window, now);
-                    inside.waiting.insert(job, end);
+                    tracker.dedup.insert(key, (self.instance, job), window, now);
+                    state.pending.insert(job, sender);
                 }
-                None => drop(inside.waiting.insert(job, end)),
+                None => drop(state.pending.insert(job, sender)),
             }
-            drop(book);
-            let pushed_over = inside.server.has_crashed() && !fell;
-            let told = inside.server.overloaded_by_informed_senders();
-            drop(inside);
-            if cold {
+            drop(tracker);
+            let crashed = state.server.has_crashed() && !had_crashed;
+            let informed = state.server.overloaded_by_informed_senders();
+            drop(state);
+            if in_slow_start {
                 lock(&shared.tracker).invariants.record_check(Rule::ColdSpared);
             }
-            if pushed_over {
-                lock(&shared.tracker).invariants.server_crashed(&self.uid(), told, shared.clock.now());
-                self.machine.send_replace(Machine::Down);
+            if crashed {
+                lock(&shared.tracker).invariants.server_crashed(&self.uid(), informed, shared.clock.now());
+                self.host_state.send_replace(HostState::Down);
             }
-            (offer, repeat)
+            (admission, is_duplicate)
         };
-        if repeat {
+        if is_duplicate {
             lock(&shared.stats).duplicates_dropped += 1;
         }
         self.wake.notify_one();
-        let end = match offer {
-            Admission::Accepted => answer.await.ok(),
+        let outcome = match admission {
+            Admission::Accepted => receiver.await.ok(),
             Admission::Full => Some(JobOutcome::Dropped),
             Admission::Failed => Some(JobOutcome::Error),
             Admission::Down => None,
         };
-        // Its process has ended, or its machine vanished: nobody answers, and the connection ends or stays silent.
-        if end.is_none() || *self.machine.borrow() == Machine::Silent {
+        // The process has ended or the host is unreachable: no response, and the connection is closed or left silent.
+        if outcome.is_none() || *self.host_state.borrow() == HostState::Unreachable {
             std::future::pending::<()>().await;
         }
-        let (status, text) = match end {
+        let (status, text) = match outcome {
             Some(JobOutcome::Served) => (StatusCode::OK, format!("done by {}\n", self.uid())),
             Some(JobOutcome::Dropped) => (StatusCode::SERVICE_UNAVAILABLE, "full\n".to_owned()),
             _ => (StatusCode::INTERNAL_SERVER_ERROR, "failed\n".to_owned()),
@@ -380,7 +392,7 @@
         let mut response = Response::new(Full::new(Bytes::from(text)));
         *response.status_mut() = status;
         if status == StatusCode::SERVICE_UNAVAILABLE {
-            out.ran = false;
+            guard.ran = false;
             response.headers_mut().insert("x-rejected", hyper::header::HeaderValue::from_static("1"));
         }
         if let Some(util) = self.report()
@@ -388,71 +400,73 @@
         {
             response.headers_mut().insert("x-load-report", value);
         }
-        (response, way)
+        (response, delay)
     }
 
     fn report(&self) -> Option<f64> {
         use rand_distr::Distribution;
-        let mut inside = lock(&self.inside);
-        inside.server.spec().reporting?;
-        let noise = rand_distr::StandardNormal.sample(&mut inside.luck);
-        inside.server.report(self.shared.clock.now(), noise)
+        let mut state = lock(&self.state);
+        state.server.spec().reporting?;
+        let noise = rand_distr::StandardNormal.sample(&mut state.rng);
+        state.server.report(self.shared.clock.now(), noise)
     }
 
-    /// Tells those who wait as their requests end; never ends.
-    async fn keep_time(self: Arc<Self>) {
-        let mut ended = Vec::new();
+    /// Completes the pending requests of jobs that have ended in the model; runs until the runtime shuts down.
+    async fn complete_jobs(self: Arc<Self>) {
+        let mut ended_jobs = Vec::new();
         loop {
-            let next = lock(&self.inside).server.next_event();
+            let next = lock(&self.state).server.next_event();
             tokio::select! {
                 () = self.wake.notified() => {}
                 () = self.shared.clock.sleep_until(next.unwrap_or(Nanos::MAX / 2)) => {}
             }
-            let mut inside = lock(&self.inside);
-            inside.server.advance(self.shared.clock.now(), &mut ended);
-            let mut book = lock(&self.shared.tracker);
-            for (job, end) in ended.drain(..) {
-                book.dedup.job_ended((self.instance, job.id), end == JobOutcome::Served);
-                if let Some(waiting) = inside.waiting.remove(&job.id) {
-                    // Whoever waited may have gone in this very moment.
-                    let _ = waiting.send(end);
+            let mut state = lock(&self.state);
+            state.server.advance(self.shared.clock.now(), &mut ended_jobs);
+            let mut tracker = lock(&self.shared.tracker);
+            for (job, outcome) in ended_jobs.drain(..) {
+                tracker.dedup.job_ended((self.instance, job.id), outcome == JobOutcome::Served);
+                if let Some(sender) = state.pending.remove(&job.id) {
+                    // The receiver may have been dropped meanwhile.
+                    let _ = sender.send(outcome);
                 }
             }
         }
     }
 }
 
-/// The name of a process on the list.
+/// Unique id of an instance in the backend list.
 pub fn uid(instance: u32) -> String {
     format!("s{instance}")
 }
 
-/// An attempt that is out; it ends with its answer, or with its connection.
-struct Out<'a> {
-    of: &'a AppServer,
+/// Records the end of an attempt when it is dropped, with the response or with the connection.
+struct AttemptGuard<'a> {
+    app_server: &'a AppServer,
     id: u64,
-    booked: Option<usize>,
+    attempt: Option<usize>,
     job: u64,
     ran: bool,
 }
 
-impl Drop for Out<'_> {
+impl Drop for AttemptGuard<'_> {
     fn drop(&mut self) {
-        let now = self.of.shared.clock.now();
-        let dropped = {
-            let mut inside = lock(&self.of.inside);
-            // Still waited for: the connection ended first.
-            let dropped = inside.waiting.remove(&self.job).is_some() && inside.server.cancel(now, self.job);
-            if dropped {
-                lock(&self.of.shared.tracker).dedup.job_ended((self.of.instance, self.job), false);
+        let now = self.app_server.shared.clock.now();
+        let cancelled = {
+            let mut state = lock(&self.app_server.state);
+            // Still pending: the connection ended before the job.
+            let cancelled = state.pending.remove(&self.job).is_some() && state.server.cancel(now, self.job);
+            if cancelled {
+                lock(&self.app_server.shared.tracker)
+                    .dedup
+                    .job_ended((self.app_server.instance, self.job), false);
             }
-            dropped
+            cancelled
         };
-        if let Some(booked) = self.booked {
-            lock(&self.of.shared.tracker).invariants.attempt_ended(
+        if let Some(attempt) = self.attempt {
+            lock(&self.app_server.shared.tracker).invariants.attempt_ended(
                 self.id,
-                booked,
-                self.ran && !dropped,
+                attempt,
+                self.ran && !cancelled,
                 now,
             );
         }
--- a/rig/src/sockets.rs
+++ b/rig/src/sockets.rs
@@ -620,12 +620,12 @@
             FaultAction::LoseZone(zone, cold) => {
                 for server in self.servers.iter().filter(|server| self.zone_of(server) == zone) {
                     if begins {
-                        server.silence(true);
+                        server.set_unreachable(true);
                     } else if cold && server.is_up() {
                         server.kill();
                         server.start();
                     } else {
-                        server.silence(false);
+                        server.set_unreachable(false);
                     }
                 }
             }
