--- a/rig/src/load_generator.rs
+++ b/rig/src/load_generator.rs
@@ -1,5 +1,5 @@
-//! The clients on sockets: requests come when they are due, whatever became of those before, and each one's delay
-//! counts from that moment, so that a fleet that stalls cannot hide it.
+//! Open-loop load generator on sockets. Requests are sent when they are due regardless of earlier responses, and latency
+//! counts from the due time, so that a stalled fleet does not hide its latency (coordinated omission).
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -26,138 +26,139 @@
 
 use crate::shared::{RequestInfo, Shared, lock};
 
-/// An answer that is later than this, or none, is lost: its node owed one.
+/// Grace period after the deadline of a request; without a response by then, the request counts as unanswered.
 pub const ANSWER_SLACK: Nanos = SECOND / 2;
-/// Requests that may be on their way at a time: past it the load itself would run this machine out of memory.
-const MOST_OUT: usize = 50_000;
-/// Idle connections that are kept to one node.
-const MOST_IDLE: usize = 256;
-/// One that has stood idle for longer is not used again: its node may close it after 2 s.
-const IDLE: Nanos = 1800 * MS;
-const MAX_BODY: usize = 64 * 1024;
-/// The longest that a connection to a node may take to come up.
-const CONNECT: Duration = Duration::from_secs(1);
-/// What the server of an id knows is kept for so long after its client gave up.
-const KNOWN_FOR: Nanos = 10 * SECOND;
-/// A peer that asks nothing proper is owed an error or a close by then.
-const RUDE_PATIENCE: Duration = Duration::from_millis(3500);
+/// Maximum number of requests in flight, which bounds the memory of the rig.
+const MAX_IN_FLIGHT: usize = 50_000;
+/// Maximum number of idle connections kept per node.
+const MAX_IDLE_PER_NODE: usize = 256;
+/// Connections idle for longer are not reused: nodes close idle connections after 2 s.
+const MAX_IDLE_TIME: Nanos = 1800 * MS;
+const MAX_BODY_BYTES: usize = 64 * 1024;
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long the servers' information about a request is kept after its client has given up.
+const REQUEST_INFO_RETENTION: Nanos = 10 * SECOND;
+/// A node must answer an improper peer with an error or a close within this time.
+const IMPROPER_PEER_TIMEOUT: Duration = Duration::from_millis(3500);
 
-type Link = SendRequest<Full<Bytes>>;
+type NodeConnection = SendRequest<Full<Bytes>>;
 
-/// Where a node is, as the front of its zone sees it.
+/// A node as seen by the frontend of its zone.
 #[derive(Debug, Default)]
-pub struct Place {
-    /// Its address; none before its first start.
-    pub at: Mutex<Option<SocketAddr>>,
-    /// Whether the front deals connections to it.
-    pub open: AtomicBool,
-    /// Times that it was killed or paused: what it had then is excused.
-    pub harms: AtomicU64,
-    /// Paused now: it owes nobody anything in time.
+pub struct NodeTarget {
+    /// Listening address; `None` before the first start.
+    pub address: Mutex<Option<SocketAddr>>,
+    /// Whether the frontend sends connections to it.
+    pub in_rotation: AtomicBool,
+    /// Number of kills and pauses; the node owes no answer to requests that were in flight then.
+    pub disruptions: AtomicU64,
+    /// Whether the node is paused; it owes no answers meanwhile.
     pub paused: AtomicBool,
 }
 
-/// The clients.
-pub struct Callers {
+/// Clients that send the load of a run, with one frontend per zone.
+pub struct LoadGenerator {
     shared: Arc<Shared>,
-    /// The nodes, as the front sees them.
-    pub places: Vec<Place>,
-    clients: Mutex<RequestGenerator>,
-    /// By node, with the time from which on each has been idle.
-    idle: Vec<Mutex<Vec<(Link, Nanos)>>>,
-    luck: Mutex<ChaCha12Rng>,
+    /// The nodes by index.
+    pub nodes: Vec<NodeTarget>,
+    generator: Mutex<RequestGenerator>,
+    /// Idle connections by node, with the time at which each became idle.
+    idle: Vec<Mutex<Vec<(NodeConnection, Nanos)>>>,
+    rng: Mutex<ChaCha12Rng>,
     next_id: AtomicU64,
-    room: Arc<Semaphore>,
-    /// Requests that were not made for want of room: the rig itself was the bound.
-    pub turned_away: AtomicU64,
-    /// Peers that asked nothing proper, and those of them that were left waiting.
-    pub rude: [AtomicU64; 2],
+    permits: Arc<Semaphore>,
+    /// Requests that were not sent because too many were in flight.
+    pub requests_dropped: AtomicU64,
+    /// Number of improper peers, and of those that got neither an error nor a close in time.
+    pub improper_peers: [AtomicU64; 2],
 }
 
-enum Got {
-    Answer(StatusCode, Nanos),
-    /// The connection ended, or the answer is none that the protocol knows.
-    Broken,
-    /// No connection came about.
+enum CallResult {
+    /// Status, and the retry-after delay if there is one.
+    Response(StatusCode, Nanos),
+    /// The connection ended or the response was invalid.
+    Error,
+    /// No connection could be established.
     Unreachable,
-    /// Nothing came.
-    Nothing,
+    /// No response in time.
+    Timeout,
 }
 
-impl Callers {
-    /// Clients whose load begins with the timeline's start.
+impl LoadGenerator {
+    /// Creates a generator whose load starts with the timeline.
     pub fn new(shared: Arc<Shared>) -> Arc<Self> {
         let nodes = shared.world.nodes.len();
         Arc::new(Self {
-            places: (0..nodes).map(|_| Place::default()).collect(),
-            clients: Mutex::new(RequestGenerator::new(&shared.world, shared.timeline().start)),
+            nodes: (0..nodes).map(|_| NodeTarget::default()).collect(),
+            generator: Mutex::new(RequestGenerator::new(&shared.world, shared.timeline().start)),
             idle: (0..nodes).map(|_| Mutex::default()).collect(),
-            luck: Mutex::new(rng_stream(shared.world.seed, 11)),
+            rng: Mutex::new(rng_stream(shared.world.seed, 11)),
             next_id: AtomicU64::new(1),
-            room: Arc::new(Semaphore::new(MOST_OUT)),
-            turned_away: AtomicU64::new(0),
-            rude: Default::default(),
+            permits: Arc::new(Semaphore::new(MAX_IN_FLIGHT)),
+            requests_dropped: AtomicU64::new(0),
+            improper_peers: Default::default(),
             shared,
         })
     }
 
-    /// The load begins then.
-    pub fn begin(&self, start: Nanos) {
-        *lock(&self.clients) = RequestGenerator::new(&self.shared.world, start);
+    /// Restarts the schedule of requests at `start`.
+    pub fn start_load(&self, start: Nanos) {
+        *lock(&self.generator) = RequestGenerator::new(&self.shared.world, start);
     }
 
-    /// Waits until all requests have ended; their time is bounded.
-    pub async fn settle(&self) {
-        let _ = self.room.acquire_many(MOST_OUT as u32).await;
+    /// Waits until no request is in flight; the deadlines of the requests bound the wait.
+    pub async fn wait_idle(&self) {
+        let _ = self.permits.acquire_many(MAX_IN_FLIGHT as u32).await;
     }
 
-    /// Changes what is asked for.
-    pub fn change(&self, change: impl FnOnce(&mut RequestGenerator)) {
-        change(&mut lock(&self.clients));
+    /// Changes the parameters of the load.
+    pub fn update_load(&self, update: impl FnOnce(&mut RequestGenerator)) {
+        update(&mut lock(&self.generator));
     }
 
-    /// Asks until `end`, then waits for what is still out.
+    /// Sends requests until `end`, then waits for those in flight.
     pub async fn run(self: Arc<Self>, end: Nanos) {
         let shared = self.shared.clone();
         loop {
-            let ask = lock(&self.clients).next(&shared.world);
-            if ask.due_at >= end {
+            let request = lock(&self.generator).next(&shared.world);
+            if request.due_at >= end {
                 break;
             }
-            if ask.due_at > shared.clock.now() {
-                shared.clock.sleep_until(ask.due_at).await;
+            if request.due_at > shared.clock.now() {
+                shared.clock.sleep_until(request.due_at).await;
             }
-            let late = shared.clock.now().saturating_sub(ask.due_at) / 1000;
-            lock(&shared.lateness).saturating_record(late.max(1));
-            match self.room.clone().try_acquire_owned() {
+            let late_us = shared.clock.now().saturating_sub(request.due_at) / 1000;
+            lock(&shared.lateness).saturating_record(late_us.max(1));
+            match self.permits.clone().try_acquire_owned() {
                 Ok(slot) => {
-                    let own = self.clone();
+                    let load_generator = self.clone();
                     tokio::spawn(async move {
-                        own.follow(ask).await;
+                        load_generator.run_request(request).await;
                         drop(slot);
                     });
                 }
                 Err(_) => {
-                    self.turned_away.fetch_add(1, Ordering::Relaxed);
+                    self.requests_dropped.fetch_add(1, Ordering::Relaxed);
                 }
             }
         }
-        self.settle().await;
+        self.wait_idle().await;
     }
 
-    /// One request, over all its tries.
-    async fn follow(&self, ask: ClientRequest) {
+    /// Runs one request with all its tries.
+    async fn run_request(&self, request: ClientRequest) {
         let shared = &self.shared;
         let mut tries = 0;
-        let fate = loop {
+        let outcome = loop {
             lock(&shared.stats).tries += 1;
-            let seen = self.try_once(&ask).await;
+            let try_outcome = self.try_once(&request).await;
             let now = shared.clock.now();
-            let again = clients::next_retry(&shared.world, &ask, tries, seen, now, &mut *lock(&self.luck));
-            match again {
-                Some(at) => shared.clock.sleep_until(at).await,
+            let retry =
+                clients::next_retry(&shared.world, &request, tries, try_outcome, now, &mut *lock(&self.rng));
+            match retry {
+                Some(retry_at) => shared.clock.sleep_until(retry_at).await,
                 None => {
-                    break match seen {
+                    break match try_outcome {
                         TryOutcome::Served => RequestOutcome::Served,
                         TryOutcome::Rejected(_) => RequestOutcome::Rejected,
                         TryOutcome::Failed => RequestOutcome::Failed,
@@ -168,183 +169,206 @@
             tries += 1;
         };
         let now = shared.clock.now();
-        lock(&shared.stats).record(&shared.world, &ask, fate, now);
+        lock(&shared.stats).record(&shared.world, &request, outcome, now);
     }
 
-    fn node_for(&self, zone: u32) -> Option<usize> {
+    fn pick_node(&self, zone: u32) -> Option<usize> {
         let nodes = self.shared.world.nodes.iter().enumerate();
-        let open: Vec<usize> = nodes
-            .filter(|(number, node)| node.zone == zone && self.places[*number].open.load(Ordering::Relaxed))
-            .map(|(number, _)| number)
+        let in_rotation: Vec<usize> = nodes
+            .filter(|(index, node)| {
+                node.zone == zone && self.nodes[*index].in_rotation.load(Ordering::Relaxed)
+            })
+            .map(|(index, _)| index)
             .collect();
-        (!open.is_empty()).then(|| open[lock(&self.luck).random_range(0..open.len())])
+        (!in_rotation.is_empty()).then(|| in_rotation[lock(&self.rng).random_range(0..in_rotation.len())])
     }
 
-    async fn try_once(&self, ask: &ClientRequest) -> TryOutcome {
+    async fn try_once(&self, request: &ClientRequest) -> TryOutcome {
         let shared = &self.shared;
-        let Some(node) = self.node_for(ask.zone) else { return TryOutcome::Unreachable };
+        let Some(node) = self.pick_node(request.zone) else { return TryOutcome::Unreachable };
         let now = shared.clock.now();
-        let not_after = now + clients::try_timeout(&shared.world, ask, now);
+        let not_after = now + clients::try_timeout(&shared.world, request, now);
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
-        let class = &shared.world.classes[ask.class];
-        let harms = || self.places[node].harms.load(Ordering::Relaxed);
-        let before = harms();
+        let class = &shared.world.classes[request.class];
+        let disruptions = || self.nodes[node].disruptions.load(Ordering::Relaxed);
+        let disruptions_before = disruptions();
         {
-            let mut book = lock(&shared.tracker);
-            book.invariants.request_sent(id, class.idempotency, class.dedup_window, not_after, now);
-            let key = (class.idempotency == Idempotency::Keyed).then_some((ask.number, class.dedup_window));
-            book.requests.insert(
+            let mut tracker = lock(&shared.tracker);
+            tracker.invariants.request_sent(id, class.idempotency, class.dedup_window, not_after, now);
+            let key =
+                (class.idempotency == Idempotency::Keyed).then_some((request.number, class.dedup_window));
+            tracker.requests.insert(
                 id,
-                RequestInfo { node, work: ask.work, io_wait: ask.io_wait, not_after, dedup_key: key },
+                RequestInfo { node, work: request.work, io_wait: request.io_wait, not_after, dedup_key: key },
             );
         }
-        let left = Duration::from_nanos((not_after + ANSWER_SLACK).saturating_sub(now));
-        let got = timeout(left, self.ask_node(node, ask, id, not_after)).await.unwrap_or(Got::Nothing);
-        let came = shared.clock.now();
-        let excused = harms() != before || self.places[node].paused.load(Ordering::Relaxed);
-        let mut book = lock(&shared.tracker);
-        if excused || matches!(got, Got::Unreachable) {
-            // Nobody took it, or whoever did was killed or paused by this rig.
-            book.invariants.excuse(id);
+        let time_left = Duration::from_nanos((not_after + ANSWER_SLACK).saturating_sub(now));
+        let result = timeout(time_left, self.call_node(node, request, id, not_after))
+            .await
+            .unwrap_or(CallResult::Timeout);
+        let answered_at = shared.clock.now();
+        let excused = disruptions() != disruptions_before || self.nodes[node].paused.load(Ordering::Relaxed);
+        let mut tracker = lock(&shared.tracker);
+        if excused || matches!(result, CallResult::Unreachable) {
+            // No node accepted it, or the node was killed or paused by the rig.
+            tracker.invariants.excuse(id);
         }
-        let (answer, seen) = match got {
-            Got::Answer(StatusCode::OK, _) => (Some(FinalAnswer::Served), TryOutcome::Served),
-            Got::Answer(StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS, pause) => {
-                (Some(FinalAnswer::Rejected), TryOutcome::Rejected(pause))
-            }
-            Got::Answer(..) => (Some(FinalAnswer::Failed), TryOutcome::Failed),
-            Got::Unreachable => (None, TryOutcome::Unreachable),
-            Got::Broken | Got::Nothing => (None, TryOutcome::Failed),
+        let (final_answer, try_outcome) = match result {
+            CallResult::Response(StatusCode::OK, _) => (Some(FinalAnswer::Served), TryOutcome::Served),
+            CallResult::Response(
+                StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS,
+                retry_after,
+            ) => (Some(FinalAnswer::Rejected), TryOutcome::Rejected(retry_after)),
+            CallResult::Response(..) => (Some(FinalAnswer::Failed), TryOutcome::Failed),
+            CallResult::Unreachable => (None, TryOutcome::Unreachable),
+            CallResult::Error | CallResult::Timeout => (None, TryOutcome::Failed),
         };
-        // The account is kept for a while: a paused node may read the request yet and send it on, and a link that was
-        // cut may deliver then what was given up long ago.
-        match answer {
-            Some(answer) => book.invariants.request_answered(id, answer, came),
-            None => book.invariants.request_expired(id, came),
+        // The request info is kept for a while: a paused node or a cut link may deliver the request after its client has
+        // given up.
+        match final_answer {
+            Some(final_answer) => tracker.invariants.request_answered(id, final_answer, answered_at),
+            None => tracker.invariants.request_expired(id, answered_at),
+        }
+        // The client has given up by then.
+        if try_outcome == TryOutcome::Served && answered_at > not_after {
+            TryOutcome::Failed
+        } else {
+            try_outcome
         }
-        // The client itself has gone by then.
-        if seen == TryOutcome::Served && came > not_after { TryOutcome::Failed } else { seen }
     }
 
-    async fn ask_node(&self, node: usize, ask: &ClientRequest, id: u64, not_after: Nanos) -> Got {
-        let harms = self.places[node].harms.load(Ordering::Relaxed);
+    async fn call_node(&self, node: usize, request: &ClientRequest, id: u64, not_after: Nanos) -> CallResult {
+        let disruptions = self.nodes[node].disruptions.load(Ordering::Relaxed);
         for _ in 0..2 {
             let now = self.shared.clock.now();
-            let kept = lock(&self.idle[node]).pop();
-            let kept =
-                kept.filter(|(link, since)| !link.is_closed() && now < since + IDLE).map(|kept| kept.0);
-            let fresh = kept.is_none();
-            let mut link = match kept {
-                Some(link) => link,
+            let idle_connection = lock(&self.idle[node]).pop();
+            let idle_connection = idle_connection
+                .filter(|(connection, since)| !connection.is_closed() && now < since + MAX_IDLE_TIME)
+                .map(|entry| entry.0);
+            let new_connection = idle_connection.is_none();
+            let mut connection = match idle_connection {
+                Some(connection) => connection,
                 None => match self.connect(node).await {
-                    Some(link) => link,
-                    None => return Got::Unreachable,
+                    Some(connection) => connection,
+                    None => return CallResult::Unreachable,
                 },
             };
-            if link.ready().await.is_err() {
-                if fresh {
-                    return Got::Broken;
+            if connection.ready().await.is_err() {
+                if new_connection {
+                    return CallResult::Error;
                 }
                 continue;
             }
-            let Some(message) = self.message(ask, id, not_after) else { return Got::Broken };
-            match link.try_send_request(message).await {
+            let Some(message) = self.build_request(request, id, not_after) else { return CallResult::Error };
+            match connection.try_send_request(message).await {
                 Ok(response) => {
                     let (head, body) = response.into_parts();
-                    if Limited::new(body, MAX_BODY).collect().await.is_err() {
-                        return Got::Broken;
+                    if Limited::new(body, MAX_BODY_BYTES).collect().await.is_err() {
+                        return CallResult::Error;
                     }
-                    let pause = head.headers.get("retry-after").and_then(|value| value.to_str().ok());
-                    let pause = pause.and_then(|text| text.parse::<f64>().ok()).unwrap_or(0.0);
+                    let retry_after = head.headers.get("retry-after").and_then(|value| value.to_str().ok());
+                    let retry_after = retry_after.and_then(|text| text.parse::<f64>().ok()).unwrap_or(0.0);
                     let mut idle = lock(&self.idle[node]);
-                    if idle.len() < MOST_IDLE {
-                        idle.push((link, self.shared.clock.now()));
+                    if idle.len() < MAX_IDLE_PER_NODE {
+                        idle.push((connection, self.shared.clock.now()));
                     }
-                    return Got::Answer(head.status, (pause.clamp(0.0, 3600.0) * SECOND as f64) as Nanos);
+                    return CallResult::Response(
+                        head.status,
+                        (retry_after.clamp(0.0, 3600.0) * SECOND as f64) as Nanos,
+                    );
                 }
-                // A close that crosses a request that the node has not read: once more, on a new connection. A
-                // node that was killed meanwhile may have read it.
-                Err(_) if !fresh && self.places[node].harms.load(Ordering::Relaxed) == harms => {}
-                Err(_) => return Got::Broken,
+                // The node closed an idle connection before it read the request: retried on a new connection, unless
+                // the node was disrupted meanwhile, as it may then have read the request.
+                Err(_)
+                    if !new_connection
+                        && self.nodes[node].disruptions.load(Ordering::Relaxed) == disruptions => {}
+                Err(_) => return CallResult::Error,
             }
         }
-        Got::Broken
+        CallResult::Error
     }
 
-    async fn connect(&self, node: usize) -> Option<Link> {
-        let at = (*lock(&self.places[node].at))?;
-        let stream = timeout(CONNECT, TcpStream::connect(at)).await.ok()?.ok()?;
+    async fn connect(&self, node: usize) -> Option<NodeConnection> {
+        let address = (*lock(&self.nodes[node].address))?;
+        let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await.ok()?.ok()?;
         let _ = stream.set_nodelay(true);
-        let (link, connection) = handshake(TokioIo::new(stream)).await.ok()?;
+        let (sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
         tokio::spawn(async move {
-            // How it ends shows in its request.
+            // Errors show in the request that uses the connection.
             let _ = connection.await;
         });
-        Some(link)
+        Some(sender)
     }
 
-    fn message(&self, ask: &ClientRequest, id: u64, not_after: Nanos) -> Option<Request<Full<Bytes>>> {
+    fn build_request(
+        &self,
+        request: &ClientRequest,
+        id: u64,
+        not_after: Nanos,
+    ) -> Option<Request<Full<Bytes>>> {
         let world = &self.shared.world;
-        let class = &world.classes[ask.class];
-        let left = not_after.saturating_sub(self.shared.clock.now()) / MS;
+        let class = &world.classes[request.class];
+        let budget_ms = not_after.saturating_sub(self.shared.clock.now()) / MS;
         let method = if class.idempotency == Idempotency::Idempotent { Method::GET } else { Method::POST };
-        let mut request = Request::builder()
+        let mut builder = Request::builder()
             .method(method)
             .uri("/api")
             .header("host", "origin.svc")
             .header("x-call-id", wire_id(id))
             .header("x-call-class", &class.name)
-            .header("x-budget-ms", left);
-        if let Some(tenant) = ask.tenant {
-            request = request.header("x-caller", &world.tenants[tenant].name);
+            .header("x-budget-ms", budget_ms);
+        if let Some(tenant) = request.tenant {
+            builder = builder.header("x-caller", &world.tenants[tenant].name);
         }
         if class.idempotency == Idempotency::Keyed {
-            // One key for all tries of a client's request.
-            request = request.header("idempotency-key", format!("{:032x}", ask.number));
+            // All tries of a request share one key.
+            builder = builder.header("idempotency-key", format!("{:032x}", request.number));
         }
         let body = if class.idempotency == Idempotency::Idempotent {
             Bytes::new()
         } else {
             Bytes::from_static(b"{}")
         };
-        request.body(Full::new(body)).ok()
+        builder.body(Full::new(body)).ok()
     }
 
-    /// Forgets what no server can be asked about any more; never ends.
-    pub async fn tidy(self: Arc<Self>) {
+    /// Removes information about requests that ended long ago; runs until it is aborted.
+    pub async fn remove_expired(self: Arc<Self>) {
         loop {
             sleep(Duration::from_secs(2)).await;
-            let then = self.shared.clock.now().saturating_sub(KNOWN_FOR);
-            let mut book = lock(&self.shared.tracker);
-            book.requests.retain(|_, known| known.not_after >= then);
-            book.invariants.remove_idle_since(then);
+            let cutoff = self.shared.clock.now().saturating_sub(REQUEST_INFO_RETENTION);
+            let mut tracker = lock(&self.shared.tracker);
+            tracker.requests.retain(|_, info| info.not_after >= cutoff);
+            tracker.invariants.remove_idle_since(cutoff);
         }
     }
 
-    /// One peer that asks nothing proper, and whether it was told so or let go in time.
-    pub async fn rude_peer(self: Arc<Self>) {
-        let kind = lock(&self.luck).random_range(0..4u32);
-        let number = lock(&self.luck).random_range(0..self.places.len());
-        let Some(at) = *lock(&self.places[number].at) else { return };
-        let harms = self.places[number].harms.load(Ordering::Relaxed);
-        self.rude[0].fetch_add(1, Ordering::Relaxed);
-        let said: &[u8] = match kind {
+    /// Acts as a peer that sends no proper request and checks that it gets an error or a close in time.
+    pub async fn run_improper_peer(self: Arc<Self>) {
+        let kind = lock(&self.rng).random_range(0..4u32);
+        let node = lock(&self.rng).random_range(0..self.nodes.len());
+        let Some(address) = *lock(&self.nodes[node].address) else { return };
+        let disruptions = self.nodes[node].disruptions.load(Ordering::Relaxed);
+        self.improper_peers[0].fetch_add(1, Ordering::Relaxed);
+        let payload: &[u8] = match kind {
             0 => b"",
             1 => b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03",
             2 => b"POST /api HTTP/1.1\r\nHost: origin.svc\r\nContent-Length: 10\r\n\r\n",
             _ => b"GET /api HTTP/1.1\r\nHost: origin.svc\r\nX-Call-Class: none\r\n\r\n",
         };
-        let talk = async {
-            let Ok(mut stream) = TcpStream::connect(at).await else { return };
-            let _ = stream.write_all(said).await;
-            let mut answer = [0; 256];
-            // An error, a close or a reset: each will do.
-            let _ = stream.read(&mut answer).await;
+        let exchange = async {
+            let Ok(mut stream) = TcpStream::connect(address).await else { return };
+            let _ = stream.write_all(payload).await;
+            let mut response = [0; 256];
+            // An error response, a close and a reset are all accepted.
+            let _ = stream.read(&mut response).await;
+        };
+        let target = &self.nodes[node];
+        let disrupted = || {
+            target.disruptions.load(Ordering::Relaxed) != disruptions || target.paused.load(Ordering::Relaxed)
         };
-        let place = &self.places[number];
-        let harmed = || place.harms.load(Ordering::Relaxed) != harms || place.paused.load(Ordering::Relaxed);
-        if timeout(RUDE_PATIENCE, talk).await.is_err() && !harmed() {
-            self.rude[1].fetch_add(1, Ordering::Relaxed);
+        if timeout(IMPROPER_PEER_TIMEOUT, exchange).await.is_err() && !disrupted() {
+            self.improper_peers[1].fetch_add(1, Ordering::Relaxed);
         }
     }
 }
--- a/rig/src/sockets.rs
+++ b/rig/src/sockets.rs
@@ -1,4 +1,5 @@
-//! An experiment on sockets: real node processes between emulated app servers, agents and clients, with faults.
+//! Runs an experiment on sockets: real node processes between emulated app servers, discovery agents and clients, with
+//! fault injection.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -28,105 +29,106 @@
 use crate::discovery::{DiscoveryAgent, Endpoints};
 use crate::experiment::Experiment;
 use crate::fleet_file::FleetFile;
-use crate::load_generator::{ANSWER_SLACK, Callers};
+use crate::load_generator::{ANSWER_SLACK, LoadGenerator};
 use crate::nodes::{LaunchConfig, NodeError, NodeProcess};
 use crate::registry::Registry;
 use crate::relay::{MAX_LINKS, Relay, ZonedEnd};
 use crate::servers::{AppServer, InitialState};
 use crate::shared::{Shared, lock};
 
-/// Nodes that are started at a time.
-const STARTS: usize = 12;
-/// Between the last node's readiness and the first request.
-const LEAD: Nanos = SECOND / 4;
-/// How often processes are looked at.
-const SAMPLE: Duration = Duration::from_millis(500);
-/// How long the front goes on sending to a dead node.
-const FRONT_NOTICE: Range = Range::new(1.1, 3.9);
-/// How long connections go on coming to a node that was told to end.
-const STILL_COMES: Duration = Duration::from_millis(300);
-const HUNDREDTH_MS: f64 = 10.0;
+/// Maximum number of nodes that are started concurrently.
+const MAX_CONCURRENT_STARTS: usize = 12;
+/// Delay between the readiness of the last node and the start of the load.
+const LOAD_START_DELAY: Nanos = SECOND / 4;
+/// Interval of the checks on processes and their resource usage.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
+/// Range in seconds of the time until the frontend of a zone stops sending to a dead node.
+const FRONTEND_DETECTION_S: Range = Range::new(1.1, 3.9);
+/// How long the frontend goes on sending to a node that is shutting down.
+const FRONTEND_DRAIN_DELAY: Duration = Duration::from_millis(300);
+/// Milliseconds per clock tick of the kernel's CPU accounting.
+const MS_PER_CLOCK_TICK: f64 = 10.0;
 
-/// What to play, with which programs.
+/// What to run, and the programs it needs.
 pub struct RunOptions {
-    /// The experiment.
+    /// The experiment to run.
     pub experiment: Experiment,
-    /// Its seed.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// The node's program.
+    /// Binary of the nodes.
     pub node_binary: PathBuf,
-    /// The program that runs replicas of the registry.
+    /// Binary that runs replicas of the registry.
     pub registry_binary: PathBuf,
-    /// A folder that exists, for the logs and configurations.
+    /// Existing folder for logs and configurations.
     pub folder: PathBuf,
-    /// This program, asked to run the keeper.
+    /// Command that starts the keeper, which ends left-over processes if the rig is killed.
     pub keeper: Option<Command>,
-    /// Whether the folder goes with the run.
+    /// Whether the keeper removes the folder after the run.
     pub remove_folder: bool,
-    /// Whether it plays until it is told to stop.
+    /// Whether to run until told to stop instead of for the experiment's duration.
     pub until_stopped: bool,
 }
 
-/// How a run goes, once a second.
+/// State of a run, reported once a second.
 #[derive(Clone, Debug, Default)]
 pub struct Progress {
     /// Seconds since the start of the load.
     pub elapsed_s: f64,
-    /// Requests that ended since the last look.
+    /// Outcomes since the previous report.
     pub interval: OutcomeCounts,
-    /// All so far.
+    /// Outcomes since the start of the load.
     pub total: OutcomeCounts,
-    /// Median delay of what was served, in milliseconds.
+    /// Median latency of served requests, in milliseconds.
     pub latency_p50_ms: f64,
-    /// Its 99th percentile.
+    /// 99th percentile of the latency of served requests, in milliseconds.
     pub latency_p99_ms: f64,
-    /// Servers that are up, and how many there are.
+    /// Number of servers that are up, and of all servers.
     pub servers: (usize, usize),
-    /// Nodes that run, and how many there are.
+    /// Number of running nodes, and of all nodes.
     pub nodes: (usize, usize),
-    /// The rig's own lateness at the 99th percentile, in milliseconds.
+    /// 99th percentile of how late the rig sent requests, in milliseconds.
     pub lateness_ms: f64,
-    /// Broken rules so far.
+    /// Number of rule violations so far.
     pub violations: u64,
 }
 
-/// What a run on sockets left.
+/// Result of a run on sockets.
 pub struct SocketRunResult {
-    /// Everything that the parties shared.
+    /// Shared state at the end of the run.
     pub shared: Arc<Shared>,
-    /// Requests that the rig could not make for want of room.
+    /// Requests that were not sent because too many were in flight.
     pub requests_dropped: u64,
-    /// Improper peers, and those of them that were left waiting.
+    /// Number of improper peers, and of those that got neither an error nor a close in time.
     pub improper_peers: (u64, u64),
-    /// Most memory of a node's process, in kibibytes, and most descriptors.
+    /// Maximum memory of a node process in KiB, and maximum number of its file descriptors.
     pub peak_usage: (u64, u64),
-    /// Processor time of all nodes, in milliseconds.
+    /// CPU time of all nodes, in milliseconds.
     pub node_cpu_ms: f64,
-    /// For how long requests came, in seconds.
+    /// Duration of the load, in seconds.
     pub load_duration_s: f64,
-    /// What the fleet's own registry came to.
+    /// Measures of the registry, if the fleet has one.
     pub registry_measures: BTreeMap<String, f64>,
 }
 
-/// Why a run came to nothing.
+/// Why a run could not be started.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
     /// A node did not start.
     #[error(transparent)]
     Node(#[from] NodeError),
-    /// The machine did not give what the run needs.
-    #[error("{resource}: {source}")]
+    /// A resource of the machine could not be obtained.
+    #[error("cannot set up {resource}: {source}")]
     Setup {
-        /// What was wanted.
+        /// The resource.
         resource: &'static str,
-        /// Why it was not given.
+        /// The cause.
         source: std::io::Error,
     },
     /// The registry did not start.
-    #[error("the registry: {0}")]
+    #[error("registry: {0}")]
     Registry(String),
-    /// More links than a run may have.
-    #[error("the faults concern {0} links, and {MAX_LINKS} is the most: name fewer parties")]
+    /// The faults affect more links than a run may have.
+    #[error("the link faults affect {0} links, but a run supports at most {MAX_LINKS}: name fewer link ends")]
     TooManyLinks(usize),
 }
 
@@ -134,87 +136,88 @@
     shared: Arc<Shared>,
     servers: Vec<Arc<AppServer>>,
     agents: Vec<Arc<DiscoveryAgent>>,
-    /// Where each node finds its agent, at the start of the run; a link may stand between.
+    /// Initial discovery address of each node: its agent, or a relay to it.
     discovery: Vec<SocketAddr>,
     nodes: Vec<Arc<NodeProcess>>,
     registry: Option<Arc<Registry>>,
-    callers: Arc<Callers>,
-    front_notice: Duration,
-    most_memory: AtomicU64,
-    most_descriptors: AtomicU64,
-    /// Processor time by node, as last seen.
+    load_generator: Arc<LoadGenerator>,
+    frontend_detection: Duration,
+    max_memory_kib: AtomicU64,
+    max_descriptors: AtomicU64,
+    /// CPU time by node in clock ticks, as of the last check.
     cpu: Vec<AtomicU64>,
-    bounds: (u64, u64),
+    resource_limits: (u64, u64),
 }
 
-/// Plays an experiment. `stop` ends the load early; `progress` is called once a second.
+/// Runs an experiment. `stop` ends the load early; `progress` is called once a second.
 pub async fn play(
-    stage: RunOptions,
+    options: RunOptions,
     stop: watch::Receiver<bool>,
     progress: impl Fn(&Progress) + Send + 'static,
 ) -> Result<SocketRunResult, RunError> {
     let setup_error = |resource| move |source| RunError::Setup { resource, source };
-    let experiment = &stage.experiment;
-    let plan = experiment.scenario();
-    let world = World::sample(&plan, stage.seed);
+    let experiment = &options.experiment;
+    let scenario = experiment.scenario();
+    let world = World::sample(&scenario, options.seed);
     let clock = Clock::start();
     let slack = millis(experiment.run.tolerance_ms);
-    let limits = Tolerances {
+    let tolerances = Tolerances {
         answer_slack: ANSWER_SLACK + slack,
         drain_grace: world.rules.drain_grace,
         clock_skew: slack,
     };
-    // The load starts when all is ready; until then nothing of the timeline comes due.
-    let far = clock.now() + 86_400 * SECOND;
-    let timeline = Timeline::new(&world, far);
-    let shared = Arc::new(Shared::new(world, timeline, clock, InvariantChecker::new(limits, far)));
+    // A placeholder: the timeline starts when everything is ready.
+    let far_future = clock.now() + 86_400 * SECOND;
+    let timeline = Timeline::new(&world, far_future);
+    let shared = Arc::new(Shared::new(world, timeline, clock, InvariantChecker::new(tolerances, far_future)));
     let mut servers = Vec::new();
     for (number, instance) in shared.timeline().instances.iter().enumerate() {
-        let first = if instance.starts_at == 0 { InitialState::Up } else { InitialState::Down };
-        let server = AppServer::spawn(shared.clone(), number as u32, first);
+        let initial_state = if instance.starts_at == 0 { InitialState::Up } else { InitialState::Down };
+        let server = AppServer::spawn(shared.clone(), number as u32, initial_state);
         servers.push(server.map_err(setup_error("an app server's port"))?);
     }
-    let direct: Endpoints = servers.iter().map(|server| server.address()).collect();
-    let faulted = each_link(&shared);
-    let touched = touched_links(&shared, &faulted);
-    if touched.len() > MAX_LINKS {
-        return Err(RunError::TooManyLinks(touched.len()));
+    let server_addresses: Endpoints = servers.iter().map(|server| server.address()).collect();
+    let link_faults = link_faults(&shared);
+    let faulted_links = faulted_links(&shared, &link_faults);
+    if faulted_links.len() > MAX_LINKS {
+        return Err(RunError::TooManyLinks(faulted_links.len()));
     }
     let (mut agents, mut discovery) = (Vec::new(), Vec::new());
     for node in 0..shared.world.nodes.len() {
-        let mut endpoints = direct.clone();
-        for &(_, instance) in touched.iter().filter(|(of, _)| *of == node) {
-            let place = shared.timeline().instances[instance];
+        let mut endpoints = server_addresses.clone();
+        for &(_, instance) in faulted_links.iter().filter(|(end, _)| *end == node) {
+            let info = shared.timeline().instances[instance];
             let from = (LinkEnd::Node(node), shared.world.nodes[node].zone);
-            let to = (LinkEnd::Server(place.server), place.zone);
-            let link = Relay::start(shared.clone(), from, to, direct[instance]);
-            endpoints[instance] = link.map_err(setup_error("a link's port"))?;
+            let to = (LinkEnd::Server(info.server), info.zone);
+            let relay = Relay::start(shared.clone(), from, to, server_addresses[instance]);
+            endpoints[instance] = relay.map_err(setup_error("a relay's port"))?;
         }
-        let agent =
-            DiscoveryAgent::start(shared.clone(), node, endpoints).map_err(setup_error("an agent's port"))?;
-        let own = (LinkEnd::Node(node), shared.world.nodes[node].zone);
-        let direct = agent.address();
-        let found = if faulted.iter().any(|one| one.concerns(own, DISCOVERY_END)) {
-            Relay::start(shared.clone(), own, DISCOVERY_END, direct).map_err(setup_error("a link's port"))?
+        let agent = DiscoveryAgent::start(shared.clone(), node, endpoints)
+            .map_err(setup_error("a discovery agent's port"))?;
+        let node_end = (LinkEnd::Node(node), shared.world.nodes[node].zone);
+        let agent_address = agent.address();
+        let discovery_address = if link_faults.iter().any(|fault| fault.affects(node_end, DISCOVERY_END)) {
+            Relay::start(shared.clone(), node_end, DISCOVERY_END, agent_address)
+                .map_err(setup_error("a relay's port"))?
         } else {
-            direct
+            agent_address
         };
-        discovery.push(found);
+        discovery.push(discovery_address);
         agents.push(agent);
     }
-    let cleanup = match stage.keeper {
+    let cleanup = match options.keeper {
         Some(command) => Some(CleanupProcess::start(command).map_err(setup_error("the keeper's process"))?),
         None => None,
     };
-    if let Some(cleanup) = cleanup.as_ref().filter(|_| stage.remove_folder) {
-        cleanup.add_folder(&stage.folder);
+    if let Some(cleanup) = cleanup.as_ref().filter(|_| options.remove_folder) {
+        cleanup.add_folder(&options.folder);
     }
-    let (logs, configs) = (stage.folder.join("logs"), stage.folder.join("configs"));
+    let (logs, configs) = (options.folder.join("logs"), options.folder.join("configs"));
     for folder in [&logs, &configs] {
         std::fs::create_dir_all(folder).map_err(setup_error("a folder for logs"))?;
     }
-    let launch = Arc::new(LaunchConfig {
-        node_binary: stage.node_binary,
+    let launch_config = Arc::new(LaunchConfig {
+        node_binary: options.node_binary,
         log_dir: logs,
         config_dir: configs.clone(),
         log_filter: experiment.log_filter().to_owned(),
@@ -223,59 +226,61 @@
         max_memory_mib: experiment.run.max_memory_mib,
         cleanup,
     });
-    let zone_of = |party: LinkEnd| match party {
+    let zone_of = |end: LinkEnd| match end {
         LinkEnd::Node(node) => shared.world.nodes[node].zone,
         _ => u32::MAX,
     };
-    let concerns = |one: LinkEnd, other: LinkEnd| {
-        faulted.iter().any(|fault| fault.concerns((one, zone_of(one)), (other, zone_of(other))))
+    let is_faulted = |from: LinkEnd, to: LinkEnd| {
+        link_faults.iter().any(|fault| fault.affects((from, zone_of(from)), (to, zone_of(to))))
     };
-    let registry = if plan.registry.replicas > 0 {
-        let (plan, launch, folder) = (&plan.registry, launch.clone(), &stage.folder);
+    let registry = if scenario.registry.replicas > 0 {
+        let (settings, launch_config, folder) = (&scenario.registry, launch_config.clone(), &options.folder);
         let prepared = Registry::prepare(
-            plan,
-            stage.registry_binary,
-            launch,
+            settings,
+            options.registry_binary,
+            launch_config,
             shared.clone(),
             folder,
             &servers,
-            concerns,
+            is_faulted,
         );
         Some(prepared.map_err(setup_error("the registry's files and ports"))?)
     } else {
         None
     };
-    let ordered = shared.world.faults.iter().any(|step| matches!(step.action, FaultAction::OrderZone(..)));
+    let has_zone_overrides =
+        shared.world.faults.iter().any(|fault| matches!(fault.action, FaultAction::OrderZone(..)));
     let mut nodes: Vec<Arc<NodeProcess>> = Vec::new();
     for number in 0..shared.world.nodes.len() {
-        let replicas = registry.as_ref().map(|registry| registry.addresses(number, concerns));
-        let replicas = replicas.transpose().map_err(setup_error("a link's port"))?;
-        let fleet = if registry.is_some() || ordered {
-            let write = FleetFile::create(shared.clone(), number, replicas.unwrap_or_default(), &configs);
-            Some(write.map_err(setup_error("a fleet file"))?)
+        let replicas = registry.as_ref().map(|registry| registry.addresses(number, is_faulted));
+        let replicas = replicas.transpose().map_err(setup_error("a relay's port"))?;
+        let fleet_file = if registry.is_some() || has_zone_overrides {
+            let fleet_file =
+                FleetFile::create(shared.clone(), number, replicas.unwrap_or_default(), &configs);
+            Some(fleet_file.map_err(setup_error("a fleet file"))?)
         } else {
             None
         };
-        nodes.push(Arc::new(NodeProcess::new(launch.clone(), shared.clone(), number, fleet)));
+        nodes.push(Arc::new(NodeProcess::new(launch_config.clone(), shared.clone(), number, fleet_file)));
     }
-    let notice = FRONT_NOTICE.interpolate(rng_stream(shared.world.seed, 12).random());
+    let frontend_detection = FRONTEND_DETECTION_S.interpolate(rng_stream(shared.world.seed, 12).random());
     let run = Arc::new(Run {
-        callers: Callers::new(shared.clone()),
+        load_generator: LoadGenerator::new(shared.clone()),
         registry,
         servers,
         agents,
         discovery,
-        front_notice: Duration::from_secs_f64(notice),
-        most_memory: AtomicU64::new(0),
-        most_descriptors: AtomicU64::new(0),
+        frontend_detection: Duration::from_secs_f64(frontend_detection),
+        max_memory_kib: AtomicU64::new(0),
+        max_descriptors: AtomicU64::new(0),
         cpu: nodes.iter().map(|_| AtomicU64::new(0)).collect(),
-        bounds: (experiment.run.max_memory_mib * 1024, experiment.run.max_descriptors),
+        resource_limits: (experiment.run.max_memory_mib * 1024, experiment.run.max_descriptors),
         nodes,
         shared: shared.clone(),
     });
     if let Some(registry) = &run.registry {
-        let patience = Duration::from_secs_f64(experiment.run.ready_timeout_s);
-        if let Err(problem) = registry.start(&run.servers, patience).await {
+        let ready_timeout = Duration::from_secs_f64(experiment.run.ready_timeout_s);
+        if let Err(problem) = registry.start(&run.servers, ready_timeout).await {
             registry.stop().await;
             return Err(RunError::Registry(problem));
         }
@@ -284,85 +289,88 @@
         run.end_all().await;
         return Err(error.into());
     }
-    let start = clock.now() + LEAD;
-    shared.start_load(start, InvariantChecker::new(limits, start));
-    run.callers.begin(start);
-    let span = if stage.until_stopped { Nanos::MAX / 4 } else { seconds(experiment.run.duration_s) };
+    let start = clock.now() + LOAD_START_DELAY;
+    shared.start_load(start, InvariantChecker::new(tolerances, start));
+    run.load_generator.start_load(start);
+    let duration = if options.until_stopped { Nanos::MAX / 4 } else { seconds(experiment.run.duration_s) };
     if let Some(registry) = &run.registry {
-        registry.start_load(start, span).await;
+        registry.start_load(start, duration).await;
     }
-    run.clone().carry(start.saturating_add(span), stop, progress).await;
-    let load_s = shared.run_time_ms(clock.now()) / 1000.0;
-    let registry = match &run.registry {
+    run.clone().run_load(start.saturating_add(duration), stop, progress).await;
+    let load_duration_s = shared.run_time_ms(clock.now()) / 1000.0;
+    let registry_measures = match &run.registry {
         Some(registry) => registry.finish().await,
         None => BTreeMap::new(),
     };
     run.end_all().await;
-    // Configurations are the run's own; logs stay.
+    // The logs are kept.
     let _ = std::fs::remove_dir_all(&configs);
     let ticks: u64 = run.cpu.iter().map(|cpu| cpu.load(Ordering::Relaxed)).sum();
-    let [asked, left] = &run.callers.rude;
+    let [peers, unanswered] = &run.load_generator.improper_peers;
     Ok(SocketRunResult {
-        requests_dropped: run.callers.turned_away.load(Ordering::Relaxed),
-        improper_peers: (asked.load(Ordering::Relaxed), left.load(Ordering::Relaxed)),
-        peak_usage: (run.most_memory.load(Ordering::Relaxed), run.most_descriptors.load(Ordering::Relaxed)),
-        node_cpu_ms: ticks as f64 * HUNDREDTH_MS,
-        load_duration_s: load_s,
-        registry_measures: registry,
+        requests_dropped: run.load_generator.requests_dropped.load(Ordering::Relaxed),
+        improper_peers: (peers.load(Ordering::Relaxed), unanswered.load(Ordering::Relaxed)),
+        peak_usage: (run.max_memory_kib.load(Ordering::Relaxed), run.max_descriptors.load(Ordering::Relaxed)),
+        node_cpu_ms: ticks as f64 * MS_PER_CLOCK_TICK,
+        load_duration_s,
+        registry_measures,
         shared,
     })
 }
 
-/// One fault on links, alone.
-struct OneLink {
+/// A single link fault, used to find the links that it affects.
+struct IsolatedFault {
     at: Nanos,
-    alone: Timeline,
+    timeline: Timeline,
 }
 
-impl OneLink {
-    fn concerns(&self, one: ZonedEnd, other: ZonedEnd) -> bool {
-        self.alone
-            .link_fault(self.at, one, other)
-            .or_else(|| self.alone.link_fault(self.at, other, one))
+impl IsolatedFault {
+    fn affects(&self, from: ZonedEnd, to: ZonedEnd) -> bool {
+        self.timeline
+            .link_fault(self.at, from, to)
+            .or_else(|| self.timeline.link_fault(self.at, to, from))
             .is_some()
     }
 }
 
-fn each_link(shared: &Shared) -> Vec<OneLink> {
+fn link_faults(shared: &Shared) -> Vec<IsolatedFault> {
     let timeline = shared.timeline();
-    let of_links = timeline.faults.iter().filter(|step| matches!(step.action, FaultAction::Link(..)));
-    let alone = |step: &ScheduledFault| Timeline { faults: vec![step.clone()], ..Timeline::clone(&timeline) };
-    of_links.map(|step| OneLink { at: step.at, alone: alone(step) }).collect()
+    let link_faults = timeline.faults.iter().filter(|fault| matches!(fault.action, FaultAction::Link(..)));
+    let isolate =
+        |fault: &ScheduledFault| Timeline { faults: vec![fault.clone()], ..Timeline::clone(&timeline) };
+    link_faults.map(|fault| IsolatedFault { at: fault.at, timeline: isolate(fault) }).collect()
 }
 
-/// The links between a node and a server's process that any fault concerns.
-fn touched_links(shared: &Shared, faulted: &[OneLink]) -> Vec<(usize, usize)> {
+/// Pairs of node and server instance whose link is affected by any of the faults.
+fn faulted_links(shared: &Shared, link_faults: &[IsolatedFault]) -> Vec<(usize, usize)> {
     let (world, timeline) = (&shared.world, shared.timeline());
-    let mut touched = Vec::new();
+    let mut links = Vec::new();
     for (node, info) in world.nodes.iter().enumerate() {
         for (number, instance) in timeline.instances.iter().enumerate() {
             let (from, to) =
                 ((LinkEnd::Node(node), info.zone), (LinkEnd::Server(instance.server), instance.zone));
-            if faulted.iter().any(|one| one.concerns(from, to)) {
-                touched.push((node, number));
+            if link_faults.iter().any(|fault| fault.affects(from, to)) {
+                links.push((node, number));
             }
         }
     }
-    touched
+    links
 }
 
 impl Run {
     async fn start_all(self: &Arc<Self>) -> Result<(), NodeError> {
-        let late: Vec<usize> = self
+        let late_nodes: Vec<usize> = self
             .shared
             .world
             .faults
             .iter()
-            .filter_map(|step| if let FaultAction::LateNode(node) = step.action { Some(node) } else { None })
+            .filter_map(
+                |fault| if let FaultAction::LateNode(node) = fault.action { Some(node) } else { None },
+            )
             .collect();
-        let slots = Arc::new(Semaphore::new(STARTS));
+        let slots = Arc::new(Semaphore::new(MAX_CONCURRENT_STARTS));
         let mut starting = JoinSet::new();
-        for node in (0..self.nodes.len()).filter(|node| !late.contains(node)) {
+        for node in (0..self.nodes.len()).filter(|node| !late_nodes.contains(node)) {
             let (run, slots) = (self.clone(), slots.clone());
             starting.spawn(async move {
                 let _slot = slots.acquire_owned().await;
@@ -370,7 +378,7 @@
             });
         }
         while let Some(started) = starting.join_next().await {
-            // A task that panicked is a fault of the rig, and leaves a node out: that shows as one not ready.
+            // A task that panicked is a bug of the rig; its node shows as missing in the run.
             started.unwrap_or(Ok(()))?;
         }
         Ok(())
@@ -380,30 +388,30 @@
         let agent = &self.agents[node];
         lock(&self.shared.notified_drains[node]).clear();
         lock(&self.shared.notified_starts[node]).clear();
-        let known = if self.registry.is_some() { json!(null) } else { agent.list() };
-        // An agent that has moved is found at its new address, without the link that stood before the old one.
-        let at = if agent.has_moved() { agent.address() } else { self.discovery[node] };
-        self.nodes[node].start(at, known).await?;
-        let place = &self.callers.places[node];
-        *lock(&place.at) = self.nodes[node].address();
-        place.open.store(true, Ordering::Relaxed);
+        let initial_list = if self.registry.is_some() { json!(null) } else { agent.list() };
+        // After a move the node is given the new address itself, without the relay that led to the old one.
+        let discovery = if agent.has_moved() { agent.address() } else { self.discovery[node] };
+        self.nodes[node].start(discovery, initial_list).await?;
+        let target = &self.load_generator.nodes[node];
+        *lock(&target.address) = self.nodes[node].address();
+        target.in_rotation.store(true, Ordering::Relaxed);
         Ok(())
     }
 
-    /// Ends every process that was started, and holds that each has ended as it was told to.
+    /// Stops every process and records a violation for each that does not exit on request.
     async fn end_all(self: &Arc<Self>) {
         let mut ending = JoinSet::new();
         for node in &self.nodes {
             let (node, run) = (node.clone(), self.clone());
             ending.spawn(async move {
-                run.look_at(&node);
-                // A paused process can't end.
+                run.check_process(&node);
+                // A paused process cannot handle SIGTERM.
                 node.set_paused(false);
                 if node.pid().is_some() {
                     lock(&run.shared.tracker).invariants.record_check(Rule::ProcessesEnded);
                     if !node.stop().await {
-                        let what = "did not end after SIGTERM, and was killed".to_owned();
-                        run.shared.record_violation(Rule::ProcessesEnded, node.name.clone(), what);
+                        let detail = "did not exit after SIGTERM and was killed".to_owned();
+                        run.shared.record_violation(Rule::ProcessesEnded, node.name.clone(), detail);
                     }
                 }
             });
@@ -414,134 +422,135 @@
         }
         let left: Vec<u32> = self.nodes.iter().filter_map(|node| node.pid()).collect();
         for pid in left {
-            let what = "still there after the run".to_owned();
-            self.shared.record_violation(Rule::ProcessesEnded, pid.to_string(), what);
+            let detail = "still running after the run".to_owned();
+            self.shared.record_violation(Rule::ProcessesEnded, pid.to_string(), detail);
         }
     }
 
-    /// Load, faults and the look at it, until `end` or until told to stop.
-    async fn carry(
+    /// Runs load, faults, process checks and progress reports until `end` or until told to stop.
+    async fn run_load(
         self: Arc<Self>,
         end: Nanos,
         mut stop: watch::Receiver<bool>,
         progress: impl Fn(&Progress) + Send + 'static,
     ) {
-        let mut beside = JoinSet::new();
-        beside.spawn(self.callers.clone().tidy());
-        beside.spawn(self.clone().watch_processes());
-        beside.spawn(self.clone().tell(progress));
-        beside.spawn(self.clone().make_trouble());
-        let asking = tokio::spawn(self.callers.clone().run(end));
-        let stopping = asking.abort_handle();
+        let mut tasks = JoinSet::new();
+        tasks.spawn(self.load_generator.clone().remove_expired());
+        tasks.spawn(self.clone().sample_processes());
+        tasks.spawn(self.clone().report_progress(progress));
+        tasks.spawn(self.clone().inject_faults());
+        let load_task = tokio::spawn(self.load_generator.clone().run(end));
+        let load_abort = load_task.abort_handle();
         tokio::select! {
-            _ = asking => {}
-            told = stop.wait_for(|stop| *stop) => {
-                // Whoever held the other end is gone, or wants an end: both mean it.
-                drop(told);
-                stopping.abort();
-                self.callers.settle().await;
+            _ = load_task => {}
+            stopped = stop.wait_for(|stop| *stop) => {
+                // A dropped sender also means stop.
+                drop(stopped);
+                load_abort.abort();
+                self.load_generator.wait_idle().await;
             }
         }
-        beside.abort_all();
-        while beside.join_next().await.is_some() {}
+        tasks.abort_all();
+        while tasks.join_next().await.is_some() {}
     }
 
-    async fn watch_processes(self: Arc<Self>) {
-        let mut every = interval(SAMPLE);
+    async fn sample_processes(self: Arc<Self>) {
+        let mut ticks = interval(SAMPLE_INTERVAL);
         loop {
-            every.tick().await;
+            ticks.tick().await;
             for node in &self.nodes {
-                self.look_at(node);
+                self.check_process(node);
             }
             self.registry.iter().for_each(|registry| registry.check_processes());
         }
     }
 
-    fn look_at(&self, node: &NodeProcess) {
+    fn check_process(&self, node: &NodeProcess) {
         if let Some(how) = node.reap() {
-            self.callers.places[node.index].open.store(false, Ordering::Relaxed);
+            self.load_generator.nodes[node.index].in_rotation.store(false, Ordering::Relaxed);
             self.shared.record_violation(Rule::ProcessesEnded, node.name.clone(), how);
             return;
         }
         let Some(usage) = node.resource_usage() else { return };
-        self.most_memory.fetch_max(usage.memory_kib, Ordering::Relaxed);
-        self.most_descriptors.fetch_max(usage.descriptors, Ordering::Relaxed);
+        self.max_memory_kib.fetch_max(usage.memory_kib, Ordering::Relaxed);
+        self.max_descriptors.fetch_max(usage.descriptors, Ordering::Relaxed);
         self.cpu[node.index].fetch_max(usage.cpu_ticks, Ordering::Relaxed);
         lock(&self.shared.tracker).invariants.record_check(Rule::ProcessBounds);
-        let (memory, descriptors) = self.bounds;
+        let (memory, descriptors) = self.resource_limits;
         if usage.memory_kib > memory || usage.descriptors > descriptors {
-            let what = format!(
-                "holds {} KiB and {} descriptors, of {memory} and {descriptors}",
+            let detail = format!(
+                "uses {} KiB and {} file descriptors; the limits are {memory} and {descriptors}",
                 usage.memory_kib, usage.descriptors
             );
-            self.shared.record_violation(Rule::ProcessBounds, node.name.clone(), what);
+            self.shared.record_violation(Rule::ProcessBounds, node.name.clone(), detail);
         }
     }
 
-    async fn tell(self: Arc<Self>, progress: impl Fn(&Progress) + Send + 'static) {
+    async fn report_progress(self: Arc<Self>, progress: impl Fn(&Progress) + Send + 'static) {
         let shared = self.shared.clone();
         shared.clock.sleep_until(shared.timeline().start).await;
-        let mut every = interval(Duration::from_secs(1));
-        every.tick().await;
-        let mut before = OutcomeCounts::default();
+        let mut ticks = interval(Duration::from_secs(1));
+        ticks.tick().await;
+        let mut previous = OutcomeCounts::default();
         loop {
-            every.tick().await;
+            ticks.tick().await;
             let (total, p50, p99) = {
-                let tally = lock(&shared.stats);
-                let at = |share| tally.served_latency.value_at_quantile(share) as f64 / 1000.0;
-                (tally.total(), at(0.5), at(0.99))
+                let stats = lock(&shared.stats);
+                let latency_ms = |share| stats.served_latency.value_at_quantile(share) as f64 / 1000.0;
+                (stats.total(), latency_ms(0.5), latency_ms(0.99))
             };
-            let lately = OutcomeCounts {
-                requests: total.requests - before.requests,
-                in_time: total.in_time - before.in_time,
-                late: total.late - before.late,
-                rejected: total.rejected - before.rejected,
-                failed: total.failed - before.failed,
-                value: total.value - before.value,
-                earned_value: total.earned_value - before.earned_value,
+            let interval_counts = OutcomeCounts {
+                requests: total.requests - previous.requests,
+                in_time: total.in_time - previous.in_time,
+                late: total.late - previous.late,
+                rejected: total.rejected - previous.rejected,
+                failed: total.failed - previous.failed,
+                value: total.value - previous.value,
+                earned_value: total.earned_value - previous.earned_value,
             };
-            before = total;
+            previous = total;
             let up = self.servers.iter().filter(|server| server.is_up()).count();
-            let broken = lock(&shared.tracker).invariants.reports().iter().map(|rule| rule.violated).sum();
-            let now = Progress {
+            let violations =
+                lock(&shared.tracker).invariants.reports().iter().map(|rule| rule.violated).sum();
+            let current = Progress {
                 elapsed_s: shared.run_time_ms(shared.clock.now()) / 1000.0,
-                interval: lately,
+                interval: interval_counts,
                 total,
                 latency_p50_ms: p50,
                 latency_p99_ms: p99,
                 servers: (up, shared.world.servers.len()),
                 nodes: (self.nodes.iter().filter(|node| node.pid().is_some()).count(), self.nodes.len()),
                 lateness_ms: lock(&shared.lateness).value_at_quantile(0.99) as f64 / 1000.0,
-                violations: broken,
+                violations,
             };
             shared.record_event(
                 "second",
-                json!({"asked": lately.requests, "in_time": lately.in_time, "late": lately.late,
-                    "refused": lately.rejected, "failed": lately.failed, "servers_up": up,
+                json!({"asked": interval_counts.requests, "in_time": interval_counts.in_time, "late": interval_counts.late,
+                    "refused": interval_counts.rejected, "failed": interval_counts.failed, "servers_up": up,
                     "p50_ms": p50, "p99_ms": p99}),
             );
-            progress(&now);
+            progress(&current);
         }
     }
 
-    /// Plays the faults as they come due, each in its own task: one that takes its time holds up no other.
-    async fn make_trouble(self: Arc<Self>) {
+    /// Injects the faults when they are due, each in its own task so that a slow one does not delay others.
+    async fn inject_faults(self: Arc<Self>) {
         let timeline = self.shared.timeline();
-        let mut due: Vec<(Nanos, usize, bool)> = Vec::new();
-        for (number, step) in timeline.faults.iter().enumerate() {
-            due.push((step.at, number, true));
-            due.extend(step.until.map(|until| (until, number, false)));
+        let mut schedule: Vec<(Nanos, usize, bool)> = Vec::new();
+        for (number, fault) in timeline.faults.iter().enumerate() {
+            schedule.push((fault.at, number, true));
+            schedule.extend(fault.until.map(|until| (until, number, false)));
         }
         for (number, instance) in timeline.instances.iter().enumerate() {
-            // Processes that replace others.
+            // Instances that replace others.
             if instance.starts_at > 0 {
-                due.push((instance.starts_at, usize::MAX - number, true));
+                schedule.push((instance.starts_at, usize::MAX - number, true));
             }
-            due.extend(instance.ends_at.map(|ends| (ends, usize::MAX - number, false)));
+            schedule.extend(instance.ends_at.map(|ends| (ends, usize::MAX - number, false)));
         }
-        due.sort_unstable();
-        let mut acting = JoinSet::new();
-        for (at, number, begins) in due {
+        schedule.sort_unstable();
+        let mut actions = JoinSet::new();
+        for (at, number, begins) in schedule {
             self.shared.clock.sleep_until(at).await;
             let run = self.clone();
             if number > timeline.faults.len() {
@@ -554,30 +563,30 @@
                 self.shared.record_event("server", json!({"server": server.uid(), "up": begins}));
                 continue;
             }
-            let act = timeline.faults[number].action.clone();
+            let action = timeline.faults[number].action.clone();
             let kind = if begins { "fault-begins" } else { "fault-ends" };
-            self.shared.record_event(kind, json!({"fault": format!("{act:?}")}));
-            acting.spawn(async move { run.act(act, begins).await });
+            self.shared.record_event(kind, json!({"fault": format!("{action:?}")}));
+            actions.spawn(async move { run.apply_fault(action, begins).await });
         }
-        while acting.join_next().await.is_some() {}
+        while actions.join_next().await.is_some() {}
     }
 
-    async fn act(self: Arc<Self>, act: FaultAction, begins: bool) {
-        match act {
+    async fn apply_fault(self: Arc<Self>, action: FaultAction, begins: bool) {
+        match action {
             FaultAction::KillNode(node) if begins => {
-                self.harm(node);
+                self.record_disruption(node);
                 self.nodes[node].kill().await;
-                sleep(self.front_notice).await;
+                sleep(self.frontend_detection).await;
                 if self.nodes[node].pid().is_none() {
-                    self.callers.places[node].open.store(false, Ordering::Relaxed);
+                    self.load_generator.nodes[node].in_rotation.store(false, Ordering::Relaxed);
                 }
             }
-            FaultAction::KillNode(node) | FaultAction::LateNode(node) => self.start_again(node).await,
+            FaultAction::KillNode(node) | FaultAction::LateNode(node) => self.restart_node(node).await,
             FaultAction::PauseNode(node) => {
-                self.harm(node);
-                let place = &self.callers.places[node];
-                place.paused.store(begins, Ordering::Relaxed);
-                // What came while it was paused is answered late, and that is the pause's doing.
+                self.record_disruption(node);
+                let target = &self.load_generator.nodes[node];
+                target.paused.store(begins, Ordering::Relaxed);
+                // Responses are late because of the pause, which excuses the node.
                 if !self.nodes[node].set_paused(begins) {
                     self.shared.record_event(
                         "fault-missed",
@@ -586,36 +595,38 @@
                 }
             }
             FaultAction::RestartNode(node) if begins => {
-                let place = &self.callers.places[node];
+                let target = &self.load_generator.nodes[node];
                 let stopping = async {
                     if !self.nodes[node].stop().await {
-                        let what = "did not end after SIGTERM, and was killed".to_owned();
+                        let detail = "did not exit after SIGTERM and was killed".to_owned();
                         self.shared.record_violation(
                             Rule::ProcessesEnded,
                             self.nodes[node].name.clone(),
-                            what,
+                            detail,
                         );
                     }
                 };
                 let closing = async {
-                    sleep(STILL_COMES).await;
-                    place.open.store(false, Ordering::Relaxed);
+                    sleep(FRONTEND_DRAIN_DELAY).await;
+                    target.in_rotation.store(false, Ordering::Relaxed);
                 };
                 tokio::join!(stopping, closing);
-                self.start_again(node).await;
+                self.restart_node(node).await;
             }
             FaultAction::KillServer(server) => {
-                self.on_server(server, |server| if begins { server.kill() } else { server.start() })
+                self.with_server(server, |server| if begins { server.kill() } else { server.start() })
             }
             FaultAction::SlowServer(server, factor) => {
-                self.ail(server, begins, |ailment| ailment.slowdown = factor)
+                self.set_server_fault(server, begins, |fault| fault.slowdown = factor)
+            }
+            FaultAction::HangServer(server) => {
+                self.set_server_fault(server, begins, |fault| fault.hung = true)
             }
-            FaultAction::HangServer(server) => self.ail(server, begins, |ailment| ailment.hung = true),
             FaultAction::FailServer(server, share) => {
-                self.ail(server, begins, |ailment| ailment.failure_rate = share)
+                self.set_server_fault(server, begins, |fault| fault.failure_rate = share)
             }
             FaultAction::BusyServer(server, share) => {
-                self.ail(server, begins, |ailment| ailment.stolen_cpu = share)
+                self.set_server_fault(server, begins, |fault| fault.stolen_cpu = share)
             }
             FaultAction::LoseZone(zone, cold) => {
                 for server in self.servers.iter().filter(|server| self.zone_of(server) == zone) {
@@ -630,7 +641,7 @@
                 }
             }
             FaultAction::ReplaceServer(server) if begins && self.registry.is_some() => {
-                self.on_server(server, AppServer::drain);
+                self.with_server(server, AppServer::drain);
             }
             FaultAction::OrderZone(..) => {
                 for node in &self.nodes {
@@ -644,37 +655,38 @@
             }
             FaultAction::KillReplica(_) | FaultAction::PauseReplica(_) | FaultAction::LoseReplica(_) => {
                 if let Some(registry) = &self.registry {
-                    registry.apply_fault(act, begins).await;
+                    registry.apply_fault(action, begins).await;
                 }
             }
             FaultAction::MoveDiscovery if begins => {
                 for (agent, node) in self.agents.iter().zip(&self.nodes) {
                     let moved = agent.relocate().map_err(|error| error.to_string());
-                    let told = moved.and_then(|()| {
+                    let done = moved.and_then(|()| {
                         node.set_discovery(agent.address()).map_err(|error| error.to_string())
                     });
-                    if let Err(cause) = told {
+                    if let Err(cause) = done {
                         self.shared.record_event("rig-trouble", json!({"node": node.name, "cause": cause}));
                     }
                 }
             }
-            FaultAction::Burst(factor) => {
-                self.callers.change(|clients| clients.set_load_factor(if begins { factor } else { 1.0 }))
-            }
+            FaultAction::Burst(factor) => self
+                .load_generator
+                .update_load(|generator| generator.set_load_factor(if begins { factor } else { 1.0 })),
             FaultAction::FloodTenant(tenant, factor) => {
-                self.callers
-                    .change(|clients| clients.set_tenant_factor(tenant, if begins { factor } else { 1.0 }));
+                self.load_generator.update_load(|generator| {
+                    generator.set_tenant_factor(tenant, if begins { factor } else { 1.0 })
+                });
             }
             FaultAction::RudeClients(rate) if begins => {
                 let timeline = self.shared.timeline();
                 let now = self.shared.clock.now();
-                let until = timeline.faults.iter().find(|step| step.action == act && step.at <= now);
-                let until = until.and_then(|step| step.until).unwrap_or(Nanos::MAX);
+                let until = timeline.faults.iter().find(|fault| fault.action == action && fault.at <= now);
+                let until = until.and_then(|fault| fault.until).unwrap_or(Nanos::MAX);
                 let mut peers = JoinSet::new();
-                let mut every = interval(Duration::from_secs_f64(1.0 / rate.max(0.01)));
+                let mut ticks = interval(Duration::from_secs_f64(1.0 / rate.max(0.01)));
                 while self.shared.clock.now() < until {
-                    every.tick().await;
-                    peers.spawn(self.callers.clone().rude_peer());
+                    ticks.tick().await;
+                    peers.spawn(self.load_generator.clone().run_improper_peer());
                 }
                 while peers.join_next().await.is_some() {}
             }
@@ -682,11 +694,11 @@
         }
     }
 
-    fn harm(&self, node: usize) {
-        self.callers.places[node].harms.fetch_add(1, Ordering::Relaxed);
+    fn record_disruption(&self, node: usize) {
+        self.load_generator.nodes[node].disruptions.fetch_add(1, Ordering::Relaxed);
     }
 
-    async fn start_again(&self, node: usize) {
+    async fn restart_node(&self, node: usize) {
         if let Err(error) = self.start_node(node).await {
             self.shared.record_violation(
                 Rule::ProcessesEnded,
@@ -700,25 +712,26 @@
         self.shared.timeline().instances[server.instance as usize].zone
     }
 
-    /// The process that is at a place now.
-    fn on_server(&self, place: usize, then: impl Fn(&AppServer)) {
+    /// Applies `apply` to the current instance of a server.
+    fn with_server(&self, server: usize, apply: impl Fn(&AppServer)) {
         let now = self.shared.clock.now();
         let timeline = self.shared.timeline();
-        let here =
-            |server: &&Arc<AppServer>| timeline.instances[server.instance as usize].occupies(place, now);
-        match self.servers.iter().find(here) {
-            Some(server) => then(server),
-            None => self.shared.record_event("fault-missed", json!({"server": place, "why": "not there"})),
+        let is_current = |candidate: &&Arc<AppServer>| {
+            timeline.instances[candidate.instance as usize].occupies(server, now)
+        };
+        match self.servers.iter().find(is_current) {
+            Some(current) => apply(current),
+            None => self.shared.record_event("fault-missed", json!({"server": server, "why": "not there"})),
         }
     }
 
-    fn ail(&self, place: usize, begins: bool, change: impl Fn(&mut ServerFault)) {
-        self.on_server(place, |server| {
-            let mut ailment = ServerFault::default();
+    fn set_server_fault(&self, server: usize, begins: bool, change: impl Fn(&mut ServerFault)) {
+        self.with_server(server, |server| {
+            let mut fault = ServerFault::default();
             if begins {
-                change(&mut ailment);
+                change(&mut fault);
             }
-            server.set_fault(ailment);
+            server.set_fault(fault);
         });
     }
 }
