--- a/rig/src/adapter.rs
+++ b/rig/src/adapter.rs
@@ -16,7 +16,7 @@
 const MAX_REPLY_LINES: usize = 1_000_000;
 /// Maximum size of one line of a reply.
 const MAX_LINE_BYTES: u64 = 1024 * 1024;
-/// List numbers of the protocol; they are reused in turn.
+/// Count of list numbers in the protocol; they are reused cyclically.
 const LIST_NUMBERS: u32 = 16;
 
 /// An adapter process and the batch of messages that has not been sent to it yet.
--- a/rig/src/discovery.rs
+++ b/rig/src/discovery.rs
@@ -122,7 +122,7 @@
     async fn apply_changes(self: Arc<Self>) {
         let shared = self.shared.clone();
         let jitter = lock(&self.rng).random_range(0..250_000_000u64);
-        if shared.load_started.subscribe().wait_for(|begun| *begun).await.is_err() {
+        if shared.load_started.subscribe().wait_for(|started| *started).await.is_err() {
             return;
         }
         let timeline = shared.timeline();
--- a/rig/src/listener.rs
+++ b/rig/src/listener.rs
@@ -125,7 +125,7 @@
         Ok(())
     }
 
-    /// Leaves new connections unanswered.
+    /// Leaves new connections unanswered by filling the accept queue.
     pub async fn silence(&mut self) -> io::Result<()> {
         let Some(listener) = &self.listener else { return Err(io::ErrorKind::NotConnected.into()) };
         rustix::net::listen(listener, 0)?;
--- a/rig/src/load_generator.rs
+++ b/rig/src/load_generator.rs
@@ -85,7 +85,7 @@
 }
 
 impl LoadGenerator {
-    /// Creates a generator whose load starts with the timeline.
+    /// Creates a load generator that starts with the timeline.
     pub fn new(shared: Arc<Shared>) -> Arc<Self> {
         let nodes = shared.world.nodes.len();
         Arc::new(Self {
@@ -130,11 +130,11 @@
             let late_us = shared.clock.now().saturating_sub(request.due_at) / 1000;
             lock(&shared.lateness).saturating_record(late_us.max(1));
             match self.permits.clone().try_acquire_owned() {
-                Ok(slot) => {
+                Ok(permit) => {
                     let load_generator = self.clone();
                     tokio::spawn(async move {
                         load_generator.run_request(request).await;
-                        drop(slot);
+                        drop(permit);
                     });
                 }
                 Err(_) => {
@@ -145,7 +145,7 @@
         self.wait_idle().await;
     }
 
-    /// Runs one request with all its tries.
+    /// Sends a request, retries as its client does, and records the outcome.
     async fn run_request(&self, request: ClientRequest) {
         let shared = &self.shared;
         let mut tries = 0;
--- a/rig/src/sockets.rs
+++ b/rig/src/sockets.rs
@@ -141,11 +141,13 @@
     nodes: Vec<Arc<NodeProcess>>,
     registry: Option<Arc<Registry>>,
     load_generator: Arc<LoadGenerator>,
+    /// Time until the frontend stops sending to a dead node.
     frontend_detection: Duration,
     max_memory_kib: AtomicU64,
     max_descriptors: AtomicU64,
     /// CPU time by node in clock ticks, as of the last check.
     cpu: Vec<AtomicU64>,
+    /// Maximum memory of a node in KiB, and maximum number of its file descriptors.
     resource_limits: (u64, u64),
 }
 
@@ -171,9 +173,9 @@
     let timeline = Timeline::new(&world, far_future);
     let shared = Arc::new(Shared::new(world, timeline, clock, InvariantChecker::new(tolerances, far_future)));
     let mut servers = Vec::new();
-    for (number, instance) in shared.timeline().instances.iter().enumerate() {
+    for (index, instance) in shared.timeline().instances.iter().enumerate() {
         let initial_state = if instance.starts_at == 0 { InitialState::Up } else { InitialState::Down };
-        let server = AppServer::spawn(shared.clone(), number as u32, initial_state);
+        let server = AppServer::spawn(shared.clone(), index as u32, initial_state);
         servers.push(server.map_err(setup_error("an app server's port"))?);
     }
     let server_addresses: Endpoints = servers.iter().map(|server| server.address()).collect();
@@ -251,17 +253,16 @@
     let has_zone_overrides =
         shared.world.faults.iter().any(|fault| matches!(fault.action, FaultAction::OrderZone(..)));
     let mut nodes: Vec<Arc<NodeProcess>> = Vec::new();
-    for number in 0..shared.world.nodes.len() {
-        let replicas = registry.as_ref().map(|registry| registry.addresses(number, is_faulted));
+    for index in 0..shared.world.nodes.len() {
+        let replicas = registry.as_ref().map(|registry| registry.addresses(index, is_faulted));
         let replicas = replicas.transpose().map_err(setup_error("a relay's port"))?;
         let fleet_file = if registry.is_some() || has_zone_overrides {
-            let fleet_file =
-                FleetFile::create(shared.clone(), number, replicas.unwrap_or_default(), &configs);
+            let fleet_file = FleetFile::create(shared.clone(), index, replicas.unwrap_or_default(), &configs);
             Some(fleet_file.map_err(setup_error("a fleet file"))?)
         } else {
             None
         };
-        nodes.push(Arc::new(NodeProcess::new(launch_config.clone(), shared.clone(), number, fleet_file)));
+        nodes.push(Arc::new(NodeProcess::new(launch_config.clone(), shared.clone(), index, fleet_file)));
     }
     let frontend_detection = FRONTEND_DETECTION_S.interpolate(rng_stream(shared.world.seed, 12).random());
     let run = Arc::new(Run {
@@ -346,11 +347,11 @@
     let (world, timeline) = (&shared.world, shared.timeline());
     let mut links = Vec::new();
     for (node, info) in world.nodes.iter().enumerate() {
-        for (number, instance) in timeline.instances.iter().enumerate() {
+        for (index, instance) in timeline.instances.iter().enumerate() {
             let (from, to) =
                 ((LinkEnd::Node(node), info.zone), (LinkEnd::Server(instance.server), instance.zone));
             if link_faults.iter().any(|fault| fault.affects(from, to)) {
-                links.push((node, number));
+                links.push((node, index));
             }
         }
     }
@@ -368,12 +369,12 @@
                 |fault| if let FaultAction::LateNode(node) = fault.action { Some(node) } else { None },
             )
             .collect();
-        let slots = Arc::new(Semaphore::new(MAX_CONCURRENT_STARTS));
+        let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_STARTS));
         let mut starting = JoinSet::new();
         for node in (0..self.nodes.len()).filter(|node| !late_nodes.contains(node)) {
-            let (run, slots) = (self.clone(), slots.clone());
+            let (run, permits) = (self.clone(), permits.clone());
             starting.spawn(async move {
-                let _slot = slots.acquire_owned().await;
+                let _permit = permits.acquire_owned().await;
                 run.start_node(node).await
             });
         }
@@ -536,25 +537,26 @@
     /// Injects the faults when they are due, each in its own task so that a slow one does not delay others.
     async fn inject_faults(self: Arc<Self>) {
         let timeline = self.shared.timeline();
+        // Time, what begins or ends, and whether it begins. Faults are counted from 0, instances down from `usize::MAX`.
         let mut schedule: Vec<(Nanos, usize, bool)> = Vec::new();
-        for (number, fault) in timeline.faults.iter().enumerate() {
-            schedule.push((fault.at, number, true));
-            schedule.extend(fault.until.map(|until| (until, number, false)));
+        for (index, fault) in timeline.faults.iter().enumerate() {
+            schedule.push((fault.at, index, true));
+            schedule.extend(fault.until.map(|until| (until, index, false)));
         }
-        for (number, instance) in timeline.instances.iter().enumerate() {
+        for (index, instance) in timeline.instances.iter().enumerate() {
             // Instances that replace others.
             if instance.starts_at > 0 {
-                schedule.push((instance.starts_at, usize::MAX - number, true));
+                schedule.push((instance.starts_at, usize::MAX - index, true));
             }
-            schedule.extend(instance.ends_at.map(|ends| (ends, usize::MAX - number, false)));
+            schedule.extend(instance.ends_at.map(|ends| (ends, usize::MAX - index, false)));
         }
         schedule.sort_unstable();
         let mut actions = JoinSet::new();
-        for (at, number, begins) in schedule {
+        for (at, index, begins) in schedule {
             self.shared.clock.sleep_until(at).await;
             let run = self.clone();
-            if number > timeline.faults.len() {
-                let server = &run.servers[usize::MAX - number];
+            if index > timeline.faults.len() {
+                let server = &run.servers[usize::MAX - index];
                 if begins {
                     server.start()
                 } else {
@@ -563,7 +565,7 @@
                 self.shared.record_event("server", json!({"server": server.uid(), "up": begins}));
                 continue;
             }
-            let action = timeline.faults[number].action.clone();
+            let action = timeline.faults[index].action.clone();
             let kind = if begins { "fault-begins" } else { "fault-ends" };
             self.shared.record_event(kind, json!({"fault": format!("{action:?}")}));
             actions.spawn(async move { run.apply_fault(action, begins).await });
