--- a/cli/src/up.rs
+++ b/cli/src/up.rs
@@ -85,11 +85,11 @@
             node_binary: binary,
             registry_binary: own_program(),
             folder: folder.path().to_owned(),
-            keeper: keeper(),
+            cleanup_command: keeper(),
             remove_folder: true,
             until_stopped: self.seconds.is_none(),
         };
-        let ran = runtime.block_on(async { sockets::play(stage, told_to_stop()?, live).await });
+        let ran = runtime.block_on(async { sockets::run(stage, told_to_stop()?, live).await });
         end_live();
         match ran {
             Ok(ran) => {
--- a/rig/src/runner.rs
+++ b/rig/src/runner.rs
@@ -99,11 +99,11 @@
         node_binary: spec.node_binary,
         registry_binary: spec.registry_binary,
         folder: spec.folder,
-        keeper: spec.cleanup_command,
+        cleanup_command: spec.cleanup_command,
         remove_folder: false,
         until_stopped: false,
     };
-    let ran = sockets::play(stage, stop, progress).await?;
+    let ran = sockets::run(stage, stop, progress).await?;
     let result = of_sockets(&ran, name, &experiment, seed, version);
     Ok((result, ran.shared.events()))
 }
--- a/rig/src/servers.rs
+++ b/rig/src/servers.rs
@@ -159,7 +159,7 @@
         self.host_state.send_if_modified(change);
     }
 
-    /// Marks the instance as draining; its registrant reports that to the registry.
+    /// Marks the instance as draining; its registrar reports that to the registry.
     pub fn drain(&self) {
         self.draining.store(true, Ordering::Relaxed);
     }
--- a/rig/src/sockets.rs
+++ b/rig/src/sockets.rs
@@ -61,9 +61,9 @@
     pub registry_binary: PathBuf,
     /// Existing folder for logs and configurations.
     pub folder: PathBuf,
-    /// Command that starts the keeper, which ends left-over processes if the rig is killed.
-    pub keeper: Option<Command>,
-    /// Whether the keeper removes the folder after the run.
+    /// Command that starts the cleanup process, which ends left-over processes if the rig is killed.
+    pub cleanup_command: Option<Command>,
+    /// Whether the cleanup process removes the folder after the run.
     pub remove_folder: bool,
     /// Whether to run until told to stop instead of for the experiment's duration.
     pub until_stopped: bool,
@@ -152,7 +152,7 @@
 }
 
 /// Runs an experiment. `stop` ends the load early; `progress` is called once a second.
-pub async fn play(
+pub async fn run(
     options: RunOptions,
     stop: watch::Receiver<bool>,
     progress: impl Fn(&Progress) + Send + 'static,
@@ -207,8 +207,8 @@
         discovery.push(discovery_address);
         agents.push(agent);
     }
-    let cleanup = match options.keeper {
-        Some(command) => Some(CleanupProcess::start(command).map_err(setup_error("the keeper's process"))?),
+    let cleanup = match options.cleanup_command {
+        Some(command) => Some(CleanupProcess::start(command).map_err(setup_error("the cleanup process"))?),
         None => None,
     };
     if let Some(cleanup) = cleanup.as_ref().filter(|_| options.remove_folder) {
