--- a/rig/src/adapter.rs
+++ b/rig/src/adapter.rs
@@ -1,5 +1,6 @@
-//! Runs another build's balancers in virtual time through an adapter process, one per zone, that speaks the simulator's
-//! JSON-lines protocol on stdin and stdout. Events of one point in time are sent as a batch; the reply holds the actions.
+//! Runs another build's balancers in virtual time through an adapter process, one per zone, that speaks the
+//! simulator's JSON-lines protocol on stdin and stdout. Events of one point in time are sent as a batch; the reply holds
+//! the actions.
 
 use std::fmt::Write as _;
 use std::io::{BufRead, BufReader, Read, Write};
--- a/rig/src/discovery.rs
+++ b/rig/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Emulated discovery agents, one per node, speaking the discovery protocol: a full list, or a watch that waits for newer
-//! changes. The timeline of the scenario determines the content and when it becomes visible.
+//! Emulated discovery agents, one per node, speaking the discovery protocol: a full list, or a watch that waits for
+//! newer changes. The timeline of the scenario determines the content and when it becomes visible.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
--- a/rig/src/fleet_file.rs
+++ b/rig/src/fleet_file.rs
@@ -18,7 +18,8 @@
 }
 
 impl FleetFile {
-    /// Writes the fleet file of a node as of the start of the run. `addresses` are those of the registry; empty without one.
+    /// Writes the fleet file of a node as of the start of the run. `addresses` are those of the registry; empty without
+    /// one.
     pub fn create(
         shared: Arc<Shared>,
         node: usize,
--- a/rig/src/load_generator.rs
+++ b/rig/src/load_generator.rs
@@ -1,5 +1,5 @@
-//! Open-loop load generator on sockets. Requests are sent when they are due regardless of earlier responses, and latency
-//! counts from the due time, so that a stalled fleet does not hide its latency (coordinated omission).
+//! Open-loop load generator on sockets. Requests are sent when they are due regardless of earlier responses, and
+//! latency counts from the due time, so that a stalled fleet does not hide its latency (coordinated omission).
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -223,8 +223,8 @@
             CallResult::Unreachable => (None, TryOutcome::Unreachable),
             CallResult::Error | CallResult::Timeout => (None, TryOutcome::Failed),
         };
-        // The request info is kept for a while: a paused node or a cut link may deliver the request after its client has
-        // given up.
+        // The request info is kept for a while: a paused node or a cut link may deliver the request after its client
+        // has given up.
         match final_answer {
             Some(final_answer) => tracker.invariants.request_answered(id, final_answer, answered_at),
             None => tracker.invariants.request_expired(id, answered_at),
--- a/rig/src/sockets.rs
+++ b/rig/src/sockets.rs
@@ -500,7 +500,7 @@
                 let latency_ms = |share| stats.served_latency.value_at_quantile(share) as f64 / 1000.0;
                 (stats.total(), latency_ms(0.5), latency_ms(0.99))
             };
-            let interval_counts = OutcomeCounts {
+            let recent = OutcomeCounts {
                 requests: total.requests - previous.requests,
                 in_time: total.in_time - previous.in_time,
                 late: total.late - previous.late,
@@ -515,7 +515,7 @@
                 lock(&shared.tracker).invariants.reports().iter().map(|rule| rule.violated).sum();
             let current = Progress {
                 elapsed_s: shared.run_time_ms(shared.clock.now()) / 1000.0,
-                interval: interval_counts,
+                interval: recent,
                 total,
                 latency_p50_ms: p50,
                 latency_p99_ms: p99,
@@ -526,8 +526,8 @@
             };
             shared.record_event(
                 "second",
-                json!({"asked": interval_counts.requests, "in_time": interval_counts.in_time, "late": interval_counts.late,
-                    "refused": interval_counts.rejected, "failed": interval_counts.failed, "servers_up": up,
+                json!({"asked": recent.requests, "in_time": recent.in_time, "late": recent.late,
+                    "refused": recent.rejected, "failed": recent.failed, "servers_up": up,
                     "p50_ms": p50, "p99_ms": p99}),
             );
             progress(&current);
@@ -537,7 +537,7 @@
     /// Injects the faults when they are due, each in its own task so that a slow one does not delay others.
     async fn inject_faults(self: Arc<Self>) {
         let timeline = self.shared.timeline();
-        // Time, what begins or ends, and whether it begins. Faults are counted from 0, instances down from `usize::MAX`.
+        // Time, what begins or ends, and whether it begins. Faults count from 0, instances down from `usize::MAX`.
         let mut schedule: Vec<(Nanos, usize, bool)> = Vec::new();
         for (index, fault) in timeline.faults.iter().enumerate() {
             schedule.push((fault.at, index, true));
