--- a/cli/tests/rig.rs
+++ b/cli/tests/rig.rs
@@ -263,7 +263,7 @@
         ("[run]\nseconds = \"long\"\n", 2, "invalid type"),
         ("[fleet]\nnodes = 3\nserver = 8\n", 3, "unknown field `server`"),
         ("[fleet]\nzones = []\n", 2, "fleet.zones: must have 1 to 64 names"),
-        ("[run]\nseconds = 1e9\n", 2, "run.seconds: 0.5 to 3600 is wanted"),
+        ("[run]\nseconds = 1e9\n", 2, "run.seconds: must be between 0.5 and 3600"),
         ("[[fault]]\nwhat = \"explode\"\nat_s = 1\n", 2, "unknown variant `explode`"),
         ("[[fault]]\nwhat = \"kill-node\"\nat_s = 1\nwho = \"n7\"\n", 4, "\"n7\" is not one of n0 to n2"),
         (
@@ -346,9 +346,9 @@
     let text = std::fs::read_to_string(calm.join("result.json")).expect("a result");
     let other = folder.path().join("other.json");
     for (text, expected) in [
-        (text.replacen("\"format\": 1", "\"format\": 9", 1), "has format 9, and this program reads 1"),
-        ("{}".to_owned(), "is no result"),
-        ("[1".to_owned(), "is no result"),
+        (text.replacen("\"format\": 1", "\"format\": 9", 1), "unsupported format 9, expected 1"),
+        ("{}".to_owned(), "not a result file"),
+        ("[1".to_owned(), "not a result file"),
     ] {
         std::fs::write(&other, text).expect("written");
         let (code, told) = compare(&calm, &other);
--- a/rig/src/experiment.rs
+++ b/rig/src/experiment.rs
@@ -1,5 +1,5 @@
-//! Experiment files: TOML, checked whole before anything starts. A problem is told with its file, line and key, and
-//! what would be right.
+//! Experiment files in TOML. A file is validated completely before a run starts; errors give the file, line and key and
+//! the expected values.
 
 use std::path::Path;
 
@@ -10,7 +10,7 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Seconds that a run on sockets may last at most: its load has to be bounded.
+/// Longest duration of a run on sockets, in seconds.
 const MAX_SOCKET_RUN_SECONDS: f64 = 3600.0;
 
 /// Where an experiment runs.
@@ -20,41 +20,41 @@
     /// Real node processes and sockets, in real time.
     #[default]
     Sockets,
-    /// The decision module in virtual time.
+    /// The balancing policy alone, in virtual time.
     Virtual,
 }
 
-/// How an experiment is played.
+/// Settings of the run itself.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Run {
-    /// For how long requests come.
+    /// Duration of the load.
     #[serde(rename = "seconds")]
     pub duration_s: f64,
     /// Where it runs.
     #[serde(rename = "on")]
     pub mode: Mode,
-    /// The seed, where the command line names none.
+    /// Seed of the run unless the command line sets one.
     pub seed: u64,
-    /// No verdict is given if the rig itself was later than this at the 99th percentile, in milliseconds.
+    /// The run is inconclusive if the 99th percentile of the rig's own lateness is above this, in milliseconds.
     #[serde(rename = "lateness_ms")]
     pub max_lateness_ms: f64,
-    /// By how much what two parties of the rig see may differ, in milliseconds: the rules' slack on sockets.
+    /// Tolerance of the rules on sockets, in milliseconds: how far observations of two components of the rig may differ.
     #[serde(rename = "slack_ms")]
     pub tolerance_ms: f64,
-    /// A node that is not ready so many seconds after its start never will be.
+    /// How long a node may take to become ready.
     #[serde(rename = "ready_s")]
     pub ready_timeout_s: f64,
-    /// Most memory of a node's process, in mebibytes.
+    /// Limit of the memory of a node process.
     #[serde(rename = "memory_mb")]
     pub max_memory_mib: u64,
-    /// Most descriptors of a node's process.
+    /// Limit of the open file descriptors of a node process.
     #[serde(rename = "sockets")]
     pub max_descriptors: u64,
-    /// The nodes' log filter; with few nodes each request's steps are kept, with many they are not.
+    /// Log filter of the nodes. By default each request is logged only if there are few nodes.
     #[serde(rename = "log")]
     pub log_filter: Option<String>,
-    /// In virtual time nodes handle what has come in once in so long; 0 for at once.
+    /// In virtual time, the interval at which nodes handle their input; 0 handles it at once.
     pub tick_ms: f64,
 }
 
@@ -75,38 +75,38 @@
     }
 }
 
-/// An experiment.
+/// An experiment: a scenario and the settings of the run.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Experiment {
-    /// What it asks.
+    /// The question that the experiment answers.
     pub question: String,
-    /// How it is played.
+    /// Settings of the run.
     pub run: Run,
-    /// See [`Plan::fleet`].
+    /// See [`Scenario::fleet`].
     pub fleet: Fleet,
-    /// See [`Plan::load`].
+    /// See [`Scenario::load`].
     pub load: Load,
-    /// See [`Plan::network`].
+    /// See [`Scenario::network`].
     pub network: Network,
-    /// See [`Plan::discovery`].
+    /// See [`Scenario::discovery`].
     pub discovery: Discovery,
-    /// See [`Plan::registry`].
+    /// See [`Scenario::registry`].
     pub registry: Registry,
-    /// See [`Plan::rules`].
+    /// See [`Scenario::rules`].
     pub rules: Rules,
-    /// See [`Plan::kinds`].
+    /// See [`Scenario::kinds`].
     pub kind: Vec<Kind>,
-    /// See [`Plan::classes`].
+    /// See [`Scenario::classes`].
     pub class: Vec<Class>,
-    /// See [`Plan::tenants`].
+    /// See [`Scenario::tenants`].
     pub tenant: Vec<Tenant>,
-    /// See [`Plan::faults`].
+    /// See [`Scenario::faults`].
     pub fault: Vec<Fault>,
 }
 
 impl Experiment {
-    /// Reads and checks a file.
+    /// Reads and validates an experiment file.
     pub fn read(file: &Path) -> Result<Self, FileError> {
         file::read(file, |experiment: &Self| {
             experiment
@@ -115,7 +115,7 @@
         })
     }
 
-    /// What is played.
+    /// The scenario, with defaults filled in.
     pub fn scenario(&self) -> Scenario {
         Scenario {
             fleet: self.fleet.clone(),
@@ -132,54 +132,60 @@
         .with_defaults()
     }
 
-    /// The nodes' log filter.
+    /// Log filter of the nodes.
     pub fn log_filter(&self) -> &str {
-        const FEW: u32 = 16;
-        let usual = if self.fleet.nodes <= FEW { "debug" } else { "info" };
-        self.run.log_filter.as_deref().unwrap_or(usual)
+        const MAX_NODES_AT_DEBUG: u32 = 16;
+        let default = if self.fleet.nodes <= MAX_NODES_AT_DEBUG { "debug" } else { "info" };
+        self.run.log_filter.as_deref().unwrap_or(default)
     }
 
-    /// What makes no sense in it, with the key at fault.
+    /// Validates the settings of the run and the scenario.
     pub fn validate(&self) -> Result<(), ValidationError> {
-        let problem = |key: &str, text: String| Err(ValidationError { key: key.to_owned(), message: text });
+        let invalid = |key: &str, message: String| Err(ValidationError { key: key.to_owned(), message });
         let run = &self.run;
-        let most = if run.mode == Mode::Sockets { MAX_SOCKET_RUN_SECONDS } else { MAX_RUN_SECONDS };
-        if !(0.5..=most).contains(&run.duration_s) {
-            return problem("run.seconds", format!("0.5 to {most} is wanted"));
+        let max_duration_s = if run.mode == Mode::Sockets { MAX_SOCKET_RUN_SECONDS } else { MAX_RUN_SECONDS };
+        if !(0.5..=max_duration_s).contains(&run.duration_s) {
+            return invalid("run.seconds", format!("must be between 0.5 and {max_duration_s}"));
         }
         if !(0.1..=10_000.0).contains(&run.max_lateness_ms) {
-            return problem("run.lateness_ms", "0.1 to 10000 is wanted".into());
+            return invalid("run.lateness_ms", "must be between 0.1 and 10000".into());
         }
         if !(1.0..=60_000.0).contains(&run.tolerance_ms) {
-            return problem("run.slack_ms", "1 to 60000 is wanted".into());
+            return invalid("run.slack_ms", "must be between 1 and 60000".into());
         }
         if !(0.1..=600.0).contains(&run.ready_timeout_s) {
-            return problem("run.ready_s", "0.1 to 600 is wanted".into());
+            return invalid("run.ready_s", "must be between 0.1 and 600".into());
         }
         if !(16..=65_536).contains(&run.max_memory_mib) {
-            return problem("run.memory_mb", "16 to 65536 is wanted".into());
+            return invalid("run.memory_mb", "must be between 16 and 65536".into());
         }
         if !(32..=65_536).contains(&run.max_descriptors) {
-            return problem("run.sockets", "32 to 65536 is wanted".into());
+            return invalid("run.sockets", "must be between 32 and 65536".into());
         }
         if !(0.0..=1000.0).contains(&run.tick_ms) {
-            return problem("run.tick_ms", "0 to 1000 is wanted".into());
+            return invalid("run.tick_ms", "must be between 0 and 1000".into());
         }
         if run.mode == Mode::Virtual && self.registry.replicas > 0 {
-            return problem("registry.replicas", "virtual time has no processes: play it on sockets".into());
+            return invalid(
+                "registry.replicas",
+                "must be 0 in virtual time: replicas need run.on = \"sockets\"".into(),
+            );
         }
-        for (number, fault) in self.fault.iter().enumerate() {
-            let of_registry = |end: &Option<String>| {
+        for (index, fault) in self.fault.iter().enumerate() {
+            let is_replica = |end: &Option<String>| {
                 let number = end.as_deref().and_then(|end| end.strip_prefix('r'));
                 number.is_some_and(|number| number.parse::<u32>().is_ok())
             };
-            let link = fault.kind.target_kind() == TargetKind::Link;
-            if self.registry.replicas > 0 && link && !of_registry(&fault.from) && !of_registry(&fault.to) {
-                let text =
-                    "the registry tells all nodes one address of a server: one end has to be a replica";
-                return problem(&format!("fault[{number}].from"), text.to_owned());
+            let is_link_fault = fault.kind.target_kind() == TargetKind::Link;
+            if self.registry.replicas > 0
+                && is_link_fault
+                && !is_replica(&fault.from)
+                && !is_replica(&fault.to)
+            {
+                let message = "must be a replica, or `to` must be: with a registry all nodes use the same address of a server";
+                return invalid(&format!("fault[{index}].from"), message.to_owned());
             }
-            let stand_in = matches!(
+            let is_discovery_fault = matches!(
                 fault.kind,
                 FaultKind::LateDiscovery
                     | FaultKind::SilentDiscovery
@@ -187,15 +193,18 @@
                     | FaultKind::RubbishDiscovery
                     | FaultKind::MoveDiscovery
             );
-            if self.registry.replicas > 0 && stand_in {
-                let text = "concerns the stand-in of the list service, and this fleet has its own registry";
-                return problem(&format!("fault[{number}].what"), text.to_owned());
+            if self.registry.replicas > 0 && is_discovery_fault {
+                let message =
+                    "must not affect the emulated discovery service, which is not used with a registry";
+                return invalid(&format!("fault[{index}].what"), message.to_owned());
             }
             if run.mode == Mode::Virtual
                 && matches!(fault.kind, FaultKind::MoveDiscovery | FaultKind::RudeClients)
             {
-                let text = "virtual time has neither addresses nor parsers: play it on sockets".to_owned();
-                return problem(&format!("fault[{number}].what"), text);
+                let message =
+                    "must be a fault that virtual time supports; this one needs run.on = \"sockets\""
+                        .to_owned();
+                return invalid(&format!("fault[{index}].what"), message);
             }
         }
         self.scenario().validate()
--- a/rig/src/result.rs
+++ b/rig/src/result.rs
@@ -1,4 +1,4 @@
-//! What a run came to, as a file that other programs read.
+//! The result of a run, stored as a JSON file.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -9,157 +9,158 @@
 
 use crate::experiment::Mode;
 
-/// The version of the format; another one is not read.
+/// Version of the format; files of other versions are not read.
 pub const FORMAT_VERSION: u32 = 1;
-/// The file's name in a run's folder.
+/// Name of the file in the folder of a run.
 pub const FILE_NAME: &str = "result.json";
-/// A file larger than this is none.
+/// Larger files are rejected.
 const MAX_FILE_BYTES: u64 = 64 * 1024 * 1024;
 
-/// Whether a run's rules were kept.
+/// Whether the rules held in a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
-    /// Every rule that was checked was kept.
+    /// No rule was violated.
     #[serde(rename = "kept")]
     Passed,
-    /// A rule was broken.
+    /// At least one rule was violated.
     #[serde(rename = "broken")]
     Failed,
-    /// The rig itself was too late or short of room: its figures say nothing.
+    /// The rig itself was too late or dropped requests, so its measurements are not valid.
     #[serde(rename = "none")]
     Inconclusive,
 }
 
-/// What happened in one second of the load.
+/// Requests that were due in one second of the load, by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct SecondStats {
-    /// Requests that were due.
+    /// All requests.
     #[serde(rename = "asked")]
     pub requests: u64,
-    /// Served within their aim.
+    /// Served within their latency target.
     pub in_time: u64,
-    /// Served late.
+    /// Served after their latency target.
     pub late: u64,
-    /// Refused.
+    /// Rejected.
     #[serde(rename = "refused")]
     pub rejected: u64,
     /// Failed.
     pub failed: u64,
-    /// Worth earned, of what was asked for.
+    /// Share of the value of all requests that was earned.
     #[serde(rename = "worth_share")]
     pub value_share: f64,
 }
 
 impl From<&OutcomeCounts> for SecondStats {
-    fn from(second: &OutcomeCounts) -> Self {
+    fn from(counts: &OutcomeCounts) -> Self {
         Self {
-            requests: second.requests,
-            in_time: second.in_time,
-            late: second.late,
-            rejected: second.rejected,
-            failed: second.failed,
-            value_share: if second.value > 0.0 { second.earned_value / second.value } else { 1.0 },
+            requests: counts.requests,
+            in_time: counts.in_time,
+            late: counts.late,
+            rejected: counts.rejected,
+            failed: counts.failed,
+            value_share: if counts.value > 0.0 { counts.earned_value / counts.value } else { 1.0 },
         }
     }
 }
 
-/// A fault that was played.
+/// A fault that was injected.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct InjectedFault {
-    /// What it was.
+    /// Description of the fault.
     #[serde(rename = "what")]
     pub description: String,
-    /// Its begin, in seconds from the start of the load.
+    /// Begin, in seconds from the start of the load.
     #[serde(rename = "from_s")]
     pub start_s: f64,
-    /// Its end, where it had one.
+    /// End, if it had one.
     #[serde(rename = "to_s")]
     pub end_s: Option<f64>,
 }
 
-/// What a run came to.
+/// The result of a run.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct RunResult {
     /// See [`FORMAT_VERSION`].
     pub format: u32,
-    /// The experiment's name.
+    /// Name of the experiment.
     pub experiment: String,
-    /// What it asks.
+    /// The question that the experiment answers.
     pub question: String,
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// The version of the program, with a print of the node's binary where one was played.
+    /// Version of the program, with a hash of the node's binary for a run on sockets.
     pub version: String,
     /// Where it ran.
     #[serde(rename = "on")]
     pub mode: Mode,
-    /// Whether the rules were kept.
+    /// Whether the rules held.
     pub verdict: Verdict,
-    /// Why there is no verdict.
+    /// Why the run is inconclusive.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub reason: Option<String>,
-    /// What was checked.
+    /// The rules that were checked.
     pub invariants: Vec<RuleReport>,
-    /// The figures, the unit in the name.
+    /// Measurements by name; names contain the unit.
     pub measures: BTreeMap<String, f64>,
-    /// How late the rig itself was, at the 99th percentile, in milliseconds.
+    /// 99th percentile of the rig's own lateness, in milliseconds.
     pub lateness_ms_p99: f64,
-    /// By the second.
+    /// Requests of each second of the load.
     #[serde(rename = "seconds")]
     pub per_second: Vec<SecondStats>,
-    /// Delays of what was served: the share, and the milliseconds under which it stayed.
+    /// Quantiles of the latency of served requests, as pairs of quantile and milliseconds.
     #[serde(rename = "delays")]
     pub latency_quantiles: Vec<(f64, f64)>,
-    /// The faults.
+    /// The injected faults.
     pub faults: Vec<InjectedFault>,
-    /// The plan, in full.
+    /// The scenario with all defaults filled in.
     #[serde(rename = "plan")]
     pub scenario: flaxdale_model::scenario::Scenario,
 }
 
-/// Why a file is no result.
+/// Why a result could not be read.
 #[derive(Debug, thiserror::Error)]
 pub enum ResultError {
-    /// It can't be read.
+    /// The file could not be read.
     #[error("{file}: {source}")]
     Read {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// Why not.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// It is something else.
-    #[error("{file}: {text}")]
+    /// The file does not contain a result of this version.
+    #[error("{file}: {message}")]
     Malformed {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// What is wrong with it.
-        text: String,
+        /// What is wrong.
+        message: String,
     },
 }
 
 impl RunResult {
-    /// Reads the result in a run's folder, or in a file.
-    pub fn read(place: &Path) -> Result<Self, ResultError> {
-        let file = if place.is_dir() { place.join(FILE_NAME) } else { place.to_owned() };
+    /// Reads a result from a file or from the folder of a run.
+    pub fn read(path: &Path) -> Result<Self, ResultError> {
+        let file = if path.is_dir() { path.join(FILE_NAME) } else { path.to_owned() };
         let read_error = |source| ResultError::Read { file: file.clone(), source };
-        let malformed = |text: String| ResultError::Malformed { file: file.clone(), text };
+        let malformed = |message: String| ResultError::Malformed { file: file.clone(), message };
         if std::fs::metadata(&file).map_err(read_error)?.len() > MAX_FILE_BYTES {
-            return Err(malformed("is too large for a result".to_owned()));
+            return Err(malformed("too large for a result file".to_owned()));
         }
-        let text = std::fs::read(&file).map_err(read_error)?;
-        let value: serde_json::Value =
-            serde_json::from_slice(&text).map_err(|error| malformed(format!("is no result: {error}")))?;
+        let bytes = std::fs::read(&file).map_err(read_error)?;
+        let value: serde_json::Value = serde_json::from_slice(&bytes)
+            .map_err(|error| malformed(format!("not a result file: {error}")))?;
         match value.get("format").and_then(serde_json::Value::as_u64) {
             Some(format) if format == u64::from(FORMAT_VERSION) => {}
             Some(format) => {
-                let text =
-                    format!("has format {format}, and this program reads {FORMAT_VERSION}: play it again");
-                return Err(malformed(text));
+                let message = format!(
+                    "unsupported format {format}, expected {FORMAT_VERSION}: run the experiment again"
+                );
+                return Err(malformed(message));
             }
-            None => return Err(malformed("is no result: it tells no format".to_owned())),
+            None => return Err(malformed("not a result file: no format version".to_owned())),
         }
-        serde_json::from_value(value).map_err(|error| malformed(format!("is no result: {error}")))
+        serde_json::from_value(value).map_err(|error| malformed(format!("not a result file: {error}")))
     }
 }
