--- a/rig/src/experiment.rs
+++ b/rig/src/experiment.rs
@@ -13,7 +13,7 @@
 /// Longest duration of a run on sockets, in seconds.
 const MAX_SOCKET_RUN_SECONDS: f64 = 3600.0;
 
-/// Where an experiment runs.
+/// How an experiment is run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Mode {
@@ -31,7 +31,7 @@
     /// Duration of the load.
     #[serde(rename = "seconds")]
     pub duration_s: f64,
-    /// Where it runs.
+    /// Whether it is run on sockets or in virtual time.
     #[serde(rename = "on")]
     pub mode: Mode,
     /// Seed of the run unless the command line sets one.
--- a/rig/src/lib.rs
+++ b/rig/src/lib.rs
@@ -1,14 +1,15 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
-//! The rig: plays load and faults against several real processes of the node, or against the decision module in
-//! virtual time, and reports what they came to.
+//! A test rig that runs experiments with load and faults, either on real node processes or on the balancing policy in
+//! virtual time, and reports the results.
 //!
-//! [`experiment`] reads what is to be played, [`runner`] plays it and writes the results, [`compare`] holds two results
-//! against each other. On sockets [`sockets`] runs the parties: [`servers`] (emulated app servers), [`discovery`] (the list
-//! service), [`relay`] (links that can be cut), [`load_generator`] (clients) and [`nodes`] (the real processes, each a
-//! [`process`], with its [`fleet_file`]), which [`cleanup`] ends if the rig can't. Where a fleet has its
-//! own registry, [`registry`] plays it: [`replicas`] are its processes, [`registrar`] who registers there, and
-//! [`watchers`] clients that keep account of what it tells.
+//! [`experiment`] reads experiment files, [`runner`] runs them and writes the results, [`compare`] compares two results.
+//! On sockets, [`sockets`] runs the components: [`servers`] (emulated app servers), [`discovery`] (the discovery
+//! service), [`relay`] (links that faults can affect), [`load_generator`] (clients) and [`nodes`] (node processes, each a
+//! [`process`], with their fleet files in [`fleet_file`]). [`cleanup`] ends the processes if the rig itself is killed.
+//! If the fleet has its own registry, [`registry`] runs it: [`replicas`] are its processes, [`registrar`] registers
+//! instances and [`watchers`] are clients that check what it returns. [`rank`] compares builds of the policy, which run
+//! behind an [`adapter`].
 
 pub mod adapter;
 pub mod cleanup;
--- a/rig/src/result.rs
+++ b/rig/src/result.rs
@@ -91,7 +91,7 @@
     pub seed: u64,
     /// Version of the program, with a hash of the node's binary for a run on sockets.
     pub version: String,
-    /// Where it ran.
+    /// Whether it was run on sockets or in virtual time.
     #[serde(rename = "on")]
     pub mode: Mode,
     /// Whether the rules held.
