--- a/rig/src/experiment.rs
+++ b/rig/src/experiment.rs
@@ -27,7 +27,7 @@
 /// Settings of the run itself.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Run {
+pub struct RunSettings {
     /// Duration of the load.
     #[serde(rename = "seconds")]
     pub duration_s: f64,
@@ -58,7 +58,7 @@
     pub tick_ms: f64,
 }
 
-impl Default for Run {
+impl Default for RunSettings {
     fn default() -> Self {
         Self {
             duration_s: 15.0,
@@ -82,7 +82,7 @@
     /// The question that the experiment answers.
     pub question: String,
     /// Settings of the run.
-    pub run: Run,
+    pub run: RunSettings,
     /// See [`Scenario::fleet`].
     pub fleet: Fleet,
     /// See [`Scenario::load`].
--- a/rig/src/rank.rs
+++ b/rig/src/rank.rs
@@ -41,9 +41,12 @@
     (build, experiment, seed): (usize, usize, u64),
 ) -> Result<Score, String> {
     let (name, settings) = &experiments[experiment];
-    let tick = if settings.run.tick_ms > 0.0 { settings.run.tick_ms } else { DEFAULT_TICK_MS };
-    let options =
-        SimulationOptions { load_duration: seconds(settings.run.duration_s), tick: millis(tick), threads: 1 };
+    let tick_ms = if settings.run.tick_ms > 0.0 { settings.run.tick_ms } else { DEFAULT_TICK_MS };
+    let options = SimulationOptions {
+        load_duration: seconds(settings.run.duration_s),
+        tick: millis(tick_ms),
+        threads: 1,
+    };
     let scenario = settings.scenario();
     let world = flaxdale_model::world::World::sample(&scenario, seed);
     let command = builds[build].command.clone();
