--- a/cli/src/check.rs
+++ b/cli/src/check.rs
@@ -1,4 +1,4 @@
-//! `flaxdale config check`: whether a file makes sense, before anything is started with it.
+//! `flaxdale config check`: validates a file without starting anything.
 
 use std::path::Path;
 
@@ -8,58 +8,60 @@
 use serde_json::Value;
 
 use crate::Exit;
-use crate::print::conclude;
+use crate::print::finish;
 
-/// Checks a file by what its name says it is.
-pub fn check(file: &Path) -> Exit {
-    let told = match file.extension().and_then(|ending| ending.to_str()) {
-        Some("toml") => match kind(file) {
-            Kind::Experiment => experiment(file),
-            Kind::Fleet => fleet(file),
-            Kind::Replica => replica(file),
+/// Validates a file; its extension and its keys tell its kind.
+pub fn run(file: &Path) -> Exit {
+    let result = match file.extension().and_then(|extension| extension.to_str()) {
+        Some("toml") => match detect_kind(file) {
+            Kind::Experiment => check_experiment(file),
+            Kind::Fleet => check_fleet(file),
+            Kind::Replica => check_replica_settings(file),
         },
-        Some("json") => node(file),
+        Some("json") => check_node_configuration(file),
         _ => Err(format!(
-            "{}: neither an experiment, a fleet file or a replica's settings (.toml) nor a node's configuration (.json)",
+            "{}: unknown file type; expected .toml (an experiment, a fleet file, or the settings of a replica) or .json (the configuration of a node)",
             file.display()
         )),
     };
-    conclude(told)
+    finish(result)
 }
 
-/// What a TOML file is meant to be.
+/// The kind of a TOML file.
 enum Kind {
     Experiment,
     Fleet,
     Replica,
 }
 
-/// Told by its keys; one that can't be read is left to the reader of experiments to explain.
-fn kind(file: &Path) -> Kind {
+/// Detects the kind of a TOML file by its keys. An unreadable file counts as an experiment, whose parser reports the
+/// error.
+fn detect_kind(file: &Path) -> Kind {
     let text = std::fs::read_to_string(file).unwrap_or_default();
     let Ok(table) = text.parse::<toml::Table>() else { return Kind::Experiment };
-    let names_addresses = |registry: &toml::Value| registry.get("addresses").is_some();
-    // No experiment has a key beside its tables but for its question.
-    let plain = table.iter().any(|(key, value)| key != "question" && !value.is_table() && !value.is_array());
-    if table.get("registry").is_some_and(names_addresses) {
+    let has_addresses = |registry: &toml::Value| registry.get("addresses").is_some();
+    // The only top-level key of an experiment that is not a table is its question.
+    let has_plain_key =
+        table.iter().any(|(key, value)| key != "question" && !value.is_table() && !value.is_array());
+    if table.get("registry").is_some_and(has_addresses) {
         Kind::Fleet
-    } else if plain || table.contains_key("replicas") {
+    } else if has_plain_key || table.contains_key("replicas") {
         Kind::Replica
     } else {
         Kind::Experiment
     }
 }
 
-fn fleet(file: &Path) -> Result<String, String> {
+fn check_fleet(file: &Path) -> Result<String, String> {
     let fleet = Fleet::read(file).map_err(|error| error.to_string())?;
     let replicas = fleet.registry.map_or(0, |registry| registry.addresses.len());
-    Ok(format!("{}: a fleet file: a registry of {replicas} replicas", file.display()))
+    Ok(format!("{}: valid fleet file: a registry of {replicas} replicas", file.display()))
 }
 
-fn replica(file: &Path) -> Result<String, String> {
+fn check_replica_settings(file: &Path) -> Result<String, String> {
     let settings = Settings::read(file).map_err(|error| error.to_string())?;
     Ok(format!(
-        "{}: settings of a replica of {:?}: clients at {}, peers at {}, {} replicas",
+        "{}: valid settings of a replica of fleet {:?}: clients at {}, peers at {}, {} replicas",
         file.display(),
         settings.fleet,
         settings.listen,
@@ -68,11 +70,11 @@
     ))
 }
 
-fn experiment(file: &Path) -> Result<String, String> {
+fn check_experiment(file: &Path) -> Result<String, String> {
     let experiment = Experiment::read(file).map_err(|error| error.to_string())?;
     let on = if experiment.run.mode == Mode::Virtual { "in virtual time" } else { "on sockets" };
     Ok(format!(
-        "{}: an experiment of {} s {on}: {} nodes, {} app servers in {} zones, {} faults",
+        "{}: valid experiment of {} s {on}: {} nodes, {} app servers in {} zones, {} faults",
         file.display(),
         experiment.run.duration_s,
         experiment.fleet.nodes,
@@ -82,36 +84,38 @@
     ))
 }
 
-fn node(file: &Path) -> Result<String, String> {
-    let problem = |text: String| format!("{}: {text}", file.display());
-    let text = std::fs::read(file).map_err(|error| problem(error.to_string()))?;
-    // Its own words tell line and column.
-    let config: Value = serde_json::from_slice(&text).map_err(|error| problem(error.to_string()))?;
+fn check_node_configuration(file: &Path) -> Result<String, String> {
+    let file_error = |text: String| format!("{}: {text}", file.display());
+    let text = std::fs::read(file).map_err(|error| file_error(error.to_string()))?;
+    // The message of the parser contains line and column.
+    let config: Value = serde_json::from_slice(&text).map_err(|error| file_error(error.to_string()))?;
     for key in ["name", "listen", "discovery", "seed"] {
         if !config[key].is_string() {
-            return Err(problem(format!("{key} is missing or no text")));
+            return Err(file_error(format!("{key}: missing or not a string")));
         }
     }
     for key in ["listen", "discovery"] {
         let address = config[key].as_str().unwrap_or_default();
         if address.parse::<std::net::SocketAddr>().is_err() {
-            return Err(problem(format!("{key}: {address:?} is no address such as 127.0.0.1:9000")));
+            return Err(file_error(format!(
+                "{key}: {address:?} is not a socket address such as 127.0.0.1:9000"
+            )));
         }
     }
     let seed = config["seed"].as_str().unwrap_or_default();
     if u64::from_str_radix(seed, 16).is_err() {
-        return Err(problem(format!("seed: {seed:?} is no hexadecimal number of 64 bits")));
+        return Err(file_error(format!("seed: {seed:?} is not a 64-bit hexadecimal number")));
     }
     if config["limits"]["sockets"].as_u64().is_none_or(|sockets| sockets < 32) {
-        return Err(problem("limits.sockets: 32 or more is wanted".to_owned()));
+        return Err(file_error("limits.sockets: must be at least 32".to_owned()));
     }
-    let site = brookfield_settings::parse(&config["settings"]).map_err(problem)?;
-    site.settings.validate().map_err(|error| problem(error.to_string()))?;
+    let parsed = brookfield_settings::parse(&config["settings"]).map_err(file_error)?;
+    parsed.settings.validate().map_err(|error| file_error(error.to_string()))?;
     Ok(format!(
-        "{}: a node's configuration: {} classes, {} zones, {} nodes",
+        "{}: valid configuration of a node: {} classes, {} zones, {} nodes",
         file.display(),
-        site.settings.classes.len(),
-        site.settings.zone_count,
-        site.settings.node_count
+        parsed.settings.classes.len(),
+        parsed.settings.zone_count,
+        parsed.settings.node_count
     ))
 }
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -1,6 +1,6 @@
 #![forbid(unsafe_code)]
-//! `flaxdale`: what a person types. This program reads arguments and files, calls the rig, prints, and ends with an
-//! exit code that a script can use.
+//! `flaxdale`: the command-line program. It parses arguments, runs the registry or the rig, prints results, and returns
+//! an exit code for scripts.
 
 mod check;
 mod log;
@@ -16,62 +16,57 @@
 use clap::{Parser, Subcommand};
 use tracing_subscriber::filter::LevelFilter;
 
-/// A load balancer for fleets of app servers, with a rig to try it on.
+/// Operate and test a load balancer for fleets of app servers.
 ///
-/// `flaxdale up` starts a small fleet on this machine at once. `flaxdale rig run experiments/calm.toml` plays an
-/// experiment and leaves a report.
+/// `flaxdale up` starts a small fleet on this machine. `flaxdale rig run experiments/calm.toml` runs an experiment and
+/// writes a report.
 #[derive(Parser)]
 #[command(name = "flaxdale", version, max_term_width = 100, arg_required_else_help = true)]
-struct Arguments {
+struct Cli {
     #[command(subcommand)]
-    command: Task,
+    command: Commands,
 }
 
 #[derive(Subcommand)]
-enum Task {
-    /// Start a small fleet on loopback, with emulated app servers, discovery and some traffic, until Ctrl-C
+enum Commands {
     Up(up::Up),
-    /// Play experiments on real node processes or in virtual time, and compare what they came to
     #[command(subcommand)]
-    Rig(rig::Rig),
-    /// Keep the list of app servers, in one replica or several, and ask them
+    Rig(rig::RigCommand),
     #[command(subcommand)]
-    Registry(registry::Registry),
-    /// Order what zones may be given, in a fleet file
+    Registry(registry::RegistryCommand),
     #[command(subcommand)]
-    Zone(zone::Zone),
-    /// Check files
+    Zone(zone::ZoneCommand),
+    /// Validate configuration files
     #[command(subcommand)]
-    Config(Config),
-    /// End what a run left behind (started by the rig itself)
+    Config(ConfigCommand),
+    /// Clean up after a rig process that ends (started by the rig itself)
     #[command(hide = true)]
     Keeper,
 }
 
 #[derive(Subcommand)]
-enum Config {
-    /// Check an experiment, a fleet file or a replica's settings (.toml) or a node's configuration (.json)
+enum ConfigCommand {
+    /// Validate an experiment, a fleet file or the settings of a replica (.toml), or the configuration of a node (.json)
     ///
-    /// Says what is wrong and where.
+    /// Prints the kind of the file, or the first error with its location. Exit codes: 0 valid; 2 invalid or unreadable.
     Check {
-        /// The file
+        /// File to validate
         file: PathBuf,
     },
 }
 
-/// How a command ended, as its exit code tells.
+/// Exit code of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
-    /// All is well.
-    Well = 0,
-    /// A rule was broken, or a run is worse than what it was held against.
-    Broken = 1,
-    /// Wrong arguments, or a file that makes no sense; nothing was started.
+    Success = 0,
+    /// A rule was violated, a run is worse than the one it was compared with, or the registry rejected the call.
+    Failure = 1,
+    /// Invalid arguments or an invalid file; nothing was started.
     Usage = 2,
-    /// The rig was too late to give a verdict.
+    /// The rig was too slow for a verdict.
     NoVerdict = 3,
-    /// This machine did not give what was needed.
-    Machine = 4,
+    /// A system resource or the registry was unavailable.
+    System = 4,
 }
 
 impl From<Exit> for ExitCode {
@@ -80,57 +75,57 @@
     }
 }
 
-/// The node's program: the one that was named, or the one beside this program.
-pub fn node_program(named: Option<&PathBuf>) -> Result<PathBuf, String> {
-    let found = match named {
-        Some(named) => named.clone(),
+/// Returns the binary of the node: the given path, or `badgerpost` in the directory of this program.
+pub fn node_binary(path: Option<&PathBuf>) -> Result<PathBuf, String> {
+    let binary = match path {
+        Some(path) => path.clone(),
         None => std::env::current_exe().map_err(|error| error.to_string())?.with_file_name("badgerpost"),
     };
-    if found.is_file() {
-        Ok(found)
+    if binary.is_file() {
+        Ok(binary)
     } else {
         Err(format!(
-            "the node's program is not at {}: build it with `cargo build --release`, or name it with --node",
-            found.display()
+            "node binary not found at {}: build it with `cargo build --release`, or give its path with --node",
+            binary.display()
         ))
     }
 }
 
-/// This program itself, which runs replicas of the registry too.
-pub fn own_program() -> PathBuf {
+/// Returns the path of this program, which also runs the replicas of the registry.
+pub fn registry_binary() -> PathBuf {
     std::env::current_exe().unwrap_or_else(|_| PathBuf::from("flaxdale"))
 }
 
-/// As many descriptors as the system lets this process have: a watcher, a link and a client hold one each.
-fn more_descriptors() {
+/// Raises the soft limit on file descriptors to the hard limit.
+fn raise_descriptor_limit() {
     use rustix::process::{Resource, getrlimit, setrlimit};
     let mut limit = getrlimit(Resource::Nofile);
     limit.current = limit.maximum;
-    // What is not given is not promised either: connections beyond it are turned away.
+    // On failure the program runs with the lower limit.
     let _ = setrlimit(Resource::Nofile, limit);
 }
 
-/// This program, asked to keep.
-pub fn keeper() -> Option<Command> {
+/// Returns the command that cleans up after this process.
+pub fn cleanup_command() -> Option<Command> {
     let mut command = Command::new(std::env::current_exe().ok()?);
     command.arg("keeper");
     Some(command)
 }
 
 fn main() -> ExitCode {
-    let arguments = Arguments::parse();
-    let serves = matches!(&arguments.command, Task::Registry(registry) if registry.serves());
-    log::start(if serves { LevelFilter::INFO } else { LevelFilter::WARN });
-    more_descriptors();
+    let arguments = Cli::parse();
+    let is_server = matches!(&arguments.command, Commands::Registry(registry) if registry.is_server());
+    log::init(if is_server { LevelFilter::INFO } else { LevelFilter::WARN });
+    raise_descriptor_limit();
     let exit = match arguments.command {
-        Task::Up(up) => up.run(),
-        Task::Rig(rig) => rig.run(),
-        Task::Registry(registry) => registry.run(),
-        Task::Zone(zone) => zone.run(),
-        Task::Config(Config::Check { file }) => check::check(&file),
-        Task::Keeper => {
+        Commands::Up(up) => up.run(),
+        Commands::Rig(rig) => rig.run(),
+        Commands::Registry(registry) => registry.run(),
+        Commands::Zone(zone) => zone.run(),
+        Commands::Config(ConfigCommand::Check { file }) => check::run(&file),
+        Commands::Keeper => {
             flaxdale_rig::cleanup::run(std::io::stdin().lock());
-            Exit::Well
+            Exit::Success
         }
     };
     exit.into()
--- a/cli/src/print.rs
+++ b/cli/src/print.rs
@@ -1,4 +1,4 @@
-//! What is printed for a person: a closed pipe is no reason to panic.
+//! Output for the user. Write errors, such as a closed pipe, are ignored.
 
 use std::io::{IsTerminal, Write};
 
@@ -6,42 +6,42 @@
 
 use crate::Exit;
 
-/// A line on standard output.
-pub fn say(text: &str) {
+/// Prints a line to standard output.
+pub fn print_line(text: &str) {
     let _ = writeln!(std::io::stdout(), "{text}");
 }
 
-/// A line on standard error.
-pub fn complain(text: &str) {
+/// Prints an error message to standard error.
+pub fn print_error(text: &str) {
     let _ = writeln!(std::io::stderr(), "flaxdale: {text}");
 }
 
-/// Says what a command came to, or what was wrong with what it was given.
-pub fn conclude(done: Result<String, String>) -> Exit {
-    match done {
+/// Prints the result of a command whose errors are usage errors, and returns its exit code.
+pub fn finish(result: Result<String, String>) -> Exit {
+    match result {
         Ok(text) => {
-            say(&text);
-            Exit::Well
+            print_line(&text);
+            Exit::Success
         }
-        Err(problem) => {
-            complain(&problem);
+        Err(error) => {
+            print_error(&error);
             Exit::Usage
         }
     }
 }
 
-/// How a run goes, in one line: over the last one on a terminal, else below it.
-pub fn live(progress: &Progress) {
-    let lately = &progress.interval;
-    let share = |part: u64| 100.0 * part as f64 / lately.requests.max(1) as f64;
+/// Prints the progress of a run in one line, which replaces the previous one on a terminal.
+pub fn show_progress(progress: &Progress) {
+    let interval = &progress.interval;
+    let share = |part: u64| 100.0 * part as f64 / interval.requests.max(1) as f64;
     let mut line = format!(
-        "{:>4.0} s  asked {:>5}/s  in time {:>5.1}%  refused {:>4.1}%  failed {:>4.1}%  p50 {:>5.0} ms  p99 {:>5.0} ms  \
+        "{:>4.0} s  requests {:>5}/s  in time {:>5.1}%  rejected {:>4.1}%  failed {:>4.1}%  p50 {:>5.0} ms  p99 {:>5.0} ms  \
          servers {}/{}  nodes {}/{}",
         progress.elapsed_s,
-        lately.requests,
-        share(lately.in_time),
-        share(lately.rejected),
-        share(lately.failed),
+        interval.requests,
+        share(interval.in_time),
+        share(interval.rejected),
+        share(interval.failed),
         progress.latency_p50_ms,
         progress.latency_p99_ms,
         progress.servers.0,
@@ -50,15 +50,15 @@
         progress.nodes.1,
     );
     if progress.violations > 0 {
-        line.push_str(&format!("  RULES BROKEN {}", progress.violations));
+        line.push_str(&format!("  RULE VIOLATIONS {}", progress.violations));
     }
-    let mut out = std::io::stderr();
-    let _ = if out.is_terminal() { write!(out, "\r\x1b[K{line}") } else { writeln!(out, "{line}") };
-    let _ = out.flush();
+    let mut output = std::io::stderr();
+    let _ = if output.is_terminal() { write!(output, "\r\x1b[K{line}") } else { writeln!(output, "{line}") };
+    let _ = output.flush();
 }
 
-/// Ends the line that [`live`] leaves open on a terminal.
-pub fn end_live() {
+/// Ends the line that [`show_progress`] leaves open on a terminal.
+pub fn end_progress() {
     if std::io::stderr().is_terminal() {
         let _ = writeln!(std::io::stderr());
     }
--- a/cli/src/registry.rs
+++ b/cli/src/registry.rs
@@ -1,4 +1,4 @@
-//! `flaxdale registry`: a replica of the registry, and what an operator asks of one.
+//! `flaxdale registry`: runs a replica of the registry, and queries or changes a running registry.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -17,288 +17,301 @@
 use tokio::signal::unix::{SignalKind, signal};
 
 use crate::Exit;
-use crate::print::{complain, say};
+use crate::print::{print_error, print_line};
 use crate::rig::runtime;
 
-/// A backup larger than this is none.
-const MOST_BACKUP: u64 = 256 * 1024 * 1024;
+/// Maximum size of a backup file.
+const MAX_BACKUP_BYTES: u64 = 256 * 1024 * 1024;
 
-/// Keep the list of app servers: one process for a small site, three or five for a fleet.
+/// Run a replica of the registry, or query and change a running registry.
+///
+/// The registry keeps the list of app servers: one replica is enough for a small site, three or five serve a fleet.
 #[derive(Subcommand)]
-pub enum Registry {
-    /// Run one replica until it is told to stop
+pub enum RegistryCommand {
     Serve(Serve),
-    /// Say how a replica and its registry stand
+    /// Print the status of a replica and of its registry
     Status {
         #[command(flatten)]
-        at: At,
-        /// As JSON, whole
+        at: RegistryAddress,
+        /// Print the full status as JSON
         #[arg(long)]
         json: bool,
     },
-    /// Print the list
+    /// List the registered instances
     List {
         #[command(flatten)]
-        at: At,
-        /// As JSON, in the form of the watch
+        at: RegistryAddress,
+        /// Print the list as JSON, in the format of the HTTP API
         #[arg(long)]
         json: bool,
     },
-    /// Let an instance finish what it has
+    /// Drain an instance: let it finish its requests and get no new ones
     Drain {
-        /// Its name
+        /// Name of the instance
         uid: String,
         #[command(flatten)]
-        at: At,
+        at: RegistryAddress,
     },
-    /// Take an instance off the list
+    /// Remove an instance from the list
     Leave {
-        /// Its name
+        /// Name of the instance
         uid: String,
         #[command(flatten)]
-        at: At,
+        at: RegistryAddress,
     },
-    /// Say of a zone's suspects, whose leases lapsed together, that they live or that they have gone
+    /// Decide whether the suspects of a zone, whose leases expired together, are alive or gone
     Suspects {
-        /// The zone
+        /// Name of the zone
         zone: String,
-        /// What is true of them
+        /// State of the suspects
         #[arg(value_enum)]
-        are: Are,
+        are: SuspectState,
         #[command(flatten)]
-        at: At,
+        at: RegistryAddress,
     },
-    /// Write the list into a file
+    /// Save the list to a backup file
     Backup {
-        /// The file; an earlier one is replaced once the new one is whole
+        /// Backup file to write; an existing file is replaced atomically
         file: PathBuf,
         #[command(flatten)]
-        at: At,
+        at: RegistryAddress,
     },
-    /// Put a backup in place of the list: a new incarnation, whose versions are past all that clients have seen
+    /// Replace the list with a backup
+    ///
+    /// Starts a new incarnation of the list, with revisions higher than any that clients have seen.
     Restore {
-        /// The file
+        /// Backup file to read
         file: PathBuf,
         #[command(flatten)]
-        at: At,
+        at: RegistryAddress,
     },
-    /// Add a replica that runs and belongs to no registry yet
+    /// Add a running replica that does not belong to a registry yet
     Add {
-        /// Its address for the other replicas
+        /// Peer address of the replica
         peer: SocketAddr,
         #[command(flatten)]
-        at: At,
+        at: RegistryAddress,
     },
-    /// Remove a replica, running or not
+    /// Remove a replica, whether it is running or not
     Remove {
-        /// Its address for the other replicas
+        /// Peer address of the replica
         peer: SocketAddr,
         #[command(flatten)]
-        at: At,
+        at: RegistryAddress,
     },
-    /// Hand the lead over to a replica
+    /// Transfer the leadership to a replica
     Lead {
-        /// Its address for the other replicas
+        /// Peer address of the replica
         peer: SocketAddr,
         #[command(flatten)]
-        at: At,
+        at: RegistryAddress,
     },
 }
 
-/// What a person knows of suspects.
+/// An operator's decision on suspects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub enum Are {
-    /// They live, and get a full lease
+pub enum SuspectState {
+    /// Keep them and renew their leases
     Alive,
-    /// They have gone
+    /// Remove them from the list
     Gone,
 }
 
-/// Where the registry is.
 #[derive(Args)]
-pub struct At {
-    /// A replica's address for clients; may be given several times
+pub struct RegistryAddress {
+    /// Client address of a replica; may be given several times
     #[arg(long, value_name = "ADDRESS", default_value = "127.0.0.1:7200")]
     at: Vec<SocketAddr>,
-    /// A fleet file that names them, instead
+    /// Take the addresses of the replicas from a fleet file
     #[arg(long, value_name = "FILE", conflicts_with = "at")]
     fleet_file: Option<PathBuf>,
 }
 
-/// Run one replica.
+/// Run a replica until interrupted.
 ///
-/// Without a file it is a registry of one replica on loopback, with its store in ./registry-data. What is given here
-/// goes before what the file says. Logs go to standard error: EDGE_LOG filters them as for the node (`info`, or
-/// `warn,flaxdale_registry=debug`), EDGE_LOG_FORMAT=json writes a JSON object a line. Ends on Ctrl-C or SIGTERM. Exit
-/// codes: 0 told to end; 2 wrong arguments or file, nothing was started; 4 this machine did not give what was needed.
+/// Without a settings file, it runs a registry of one replica on loopback, with its store in ./registry-data. Options
+/// override the settings file. Logs go to standard error: EDGE_LOG filters them (`info`, or
+/// `warn,flaxdale_registry=debug`), and EDGE_LOG_FORMAT=json writes one JSON object per line. Ctrl-C or SIGTERM shuts
+/// the replica down. Exit codes: 0 shut down by a signal; 2 invalid arguments or settings, nothing was started; 4 a
+/// system resource was unavailable.
 #[derive(Args)]
 pub struct Serve {
-    /// The replica's settings (TOML)
+    /// Settings file of the replica (TOML)
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
-    /// The fleet's name
+    /// Name of the fleet
     #[arg(long)]
     fleet: Option<String>,
-    /// The folder of its store
+    /// Directory of the store
     #[arg(long, value_name = "DIR")]
     data: Option<PathBuf>,
-    /// Where clients find it; port 0 takes a free one
+    /// Listen address for clients; port 0 selects a free port
     #[arg(long, value_name = "ADDRESS")]
     listen: Option<SocketAddr>,
-    /// Where the other replicas find it
+    /// Listen address for other replicas
     #[arg(long, value_name = "ADDRESS")]
     peer_listen: Option<SocketAddr>,
 }
 
-impl Registry {
-    /// Whether it runs until it is told to stop, and so logs.
-    pub fn serves(&self) -> bool {
+impl RegistryCommand {
+    /// Whether the command runs a replica.
+    pub fn is_server(&self) -> bool {
         matches!(self, Self::Serve(_))
     }
 
-    /// Does it.
     pub fn run(self) -> Exit {
         let runtime = match runtime() {
             Ok(runtime) => runtime,
             Err(error) => {
-                complain(&error.to_string());
-                return Exit::Machine;
+                print_error(&error.to_string());
+                return Exit::System;
             }
         };
-        let done = match self {
+        let result = match self {
             Self::Serve(serve) => return runtime.block_on(serve.run()),
-            asked => runtime.block_on(asked.ask()),
+            command => runtime.block_on(command.execute()),
         };
-        match done {
+        match result {
             Ok(text) => {
-                say(&text);
-                Exit::Well
+                print_line(&text);
+                Exit::Success
             }
-            Err(Failed::Usage(text)) => {
-                complain(&text);
+            Err(CommandError::Usage(text)) => {
+                print_error(&text);
                 Exit::Usage
             }
-            Err(Failed::Asked(error)) => {
-                complain(&error.to_string());
-                if matches!(error, ClientError::Rejected { .. }) { Exit::Broken } else { Exit::Machine }
+            Err(CommandError::Client(error)) => {
+                print_error(&error.to_string());
+                if matches!(error, ClientError::Rejected { .. }) { Exit::Failure } else { Exit::System }
             }
         }
     }
 
-    async fn ask(self) -> Result<String, Failed> {
+    async fn execute(self) -> Result<String, CommandError> {
         match self {
             Self::Serve(_) => Ok(String::new()),
             Self::Status { at, json } => {
                 let status: Value = at.client()?.get("/registry/status").await?;
-                Ok(if json { format!("{status:#}") } else { told(&status) })
+                Ok(if json { format!("{status:#}") } else { format_status(&status) })
             }
             Self::List { at, json } => {
                 let list: Listing = at.client()?.get(INSTANCES_PATH).await?;
                 if json {
                     return Ok(serde_json::to_string_pretty(&list).unwrap_or_default());
                 }
-                let mut text = format!("version {}, {} instances", list.rev, list.targets.len());
-                for one in &list.targets {
-                    let suspect = if one.suspect { ", suspect" } else { "" };
+                let mut text = format!("revision {}, {} instances", list.rev, list.targets.len());
+                for instance in &list.targets {
+                    let suspect = if instance.suspect { ", suspect" } else { "" };
                     text.push_str(&format!(
                         "\n{:<24} {:<22} {:<12} {:<12} {:?}{suspect}",
-                        one.uid, one.endpoint, one.az, one.model, one.state
+                        instance.uid, instance.endpoint, instance.az, instance.model, instance.state
                     ));
                 }
                 Ok(text)
             }
-            Self::Drain { uid, at } => change(at, "/registry/drain", &uid, "drains").await,
-            Self::Leave { uid, at } => change(at, "/registry/leave", &uid, "has left").await,
+            Self::Drain { uid, at } => change_instance(at, "/registry/drain", &uid, "is draining").await,
+            Self::Leave { uid, at } => change_instance(at, "/registry/leave", &uid, "was removed").await,
             Self::Suspects { zone, are, at } => {
-                let decision = SuspectDecision { zone, alive: are == Are::Alive };
-                let done: Value = at.client()?.post("/registry/suspects", &decision).await?;
-                Ok(format!("{} instances concerned, version {}", done["concerned"], done["rev"]))
+                let decision = SuspectDecision { zone, alive: are == SuspectState::Alive };
+                let body: Value = at.client()?.post("/registry/suspects", &decision).await?;
+                Ok(format!("{} instances updated, revision {}", body["concerned"], body["rev"]))
             }
             Self::Backup { file, at } => {
                 let backup: Backup = at.client()?.get("/registry/backup").await?;
-                keep(&file, &backup)
-                    .map_err(|error| Failed::Usage(format!("{}: {error}", file.display())))?;
-                Ok(format!("{}: version {}, {} instances", file.display(), backup.rev, backup.lines.len()))
+                write_backup(&file, &backup)
+                    .map_err(|error| CommandError::Usage(format!("{}: {error}", file.display())))?;
+                Ok(format!("{}: revision {}, {} instances", file.display(), backup.rev, backup.lines.len()))
             }
             Self::Restore { file, at } => restore(&file, at).await,
-            Self::Add { peer, at } => replicas(at, ReplicaChange::Add(peer)).await,
-            Self::Remove { peer, at } => replicas(at, ReplicaChange::Remove(peer)).await,
-            Self::Lead { peer, at } => replicas(at, ReplicaChange::Lead(peer)).await,
+            Self::Add { peer, at } => change_replicas(at, ReplicaChange::Add(peer)).await,
+            Self::Remove { peer, at } => change_replicas(at, ReplicaChange::Remove(peer)).await,
+            Self::Lead { peer, at } => change_replicas(at, ReplicaChange::Lead(peer)).await,
         }
     }
 }
 
-/// Why a call came to nothing.
-enum Failed {
-    /// The arguments or a file.
+enum CommandError {
+    /// Invalid arguments or an invalid file.
     Usage(String),
-    /// The registry.
-    Asked(ClientError),
+    Client(ClientError),
 }
 
-impl From<ClientError> for Failed {
+impl From<ClientError> for CommandError {
     fn from(error: ClientError) -> Self {
-        Self::Asked(error)
+        Self::Client(error)
     }
 }
 
-impl At {
-    fn client(&self) -> Result<Client, Failed> {
+impl RegistryAddress {
+    fn client(&self) -> Result<Client, CommandError> {
         let Some(file) = &self.fleet_file else { return Ok(Client::new(&self.at)) };
-        let fleet = Fleet::read(file).map_err(|error| Failed::Usage(error.to_string()))?;
+        let fleet = Fleet::read(file).map_err(|error| CommandError::Usage(error.to_string()))?;
         match fleet.registry {
             Some(registry) => Ok(Client::new(&registry.addresses)),
-            None => Err(Failed::Usage(format!("{}: it names no registry", file.display()))),
+            None => Err(CommandError::Usage(format!("{}: no registry is configured", file.display()))),
         }
     }
 }
 
-async fn change(at: At, path: &str, uid: &str, what: &str) -> Result<String, Failed> {
+async fn change_instance(
+    at: RegistryAddress,
+    path: &str,
+    uid: &str,
+    outcome: &str,
+) -> Result<String, CommandError> {
     let mut client = at.client()?;
-    // The life that stands on the list now is the one that is meant.
+    // The key includes the start time, so that the change cannot apply to a restarted instance.
     let list: Listing = client.get(INSTANCES_PATH).await?;
-    let one = list.targets.into_iter().find(|one| one.uid == uid);
-    let one =
-        one.ok_or_else(|| ClientError::Rejected { status: 404, text: format!("{uid} is not on the list") })?;
-    let done: Value = client.post(path, &InstanceKey { uid: one.uid, boot_ms: one.boot_ms }).await?;
-    Ok(format!("{uid} {what}: version {}", done["rev"]))
+    let instance = list.targets.into_iter().find(|instance| instance.uid == uid);
+    let instance = instance.ok_or_else(|| ClientError::Rejected {
+        status: 404,
+        text: format!("instance {uid} is not on the list"),
+    })?;
+    let body: Value =
+        client.post(path, &InstanceKey { uid: instance.uid, boot_ms: instance.boot_ms }).await?;
+    Ok(format!("{uid} {outcome}: revision {}", body["rev"]))
 }
 
-async fn replicas(at: At, change: ReplicaChange) -> Result<String, Failed> {
-    let done: Value = at.client()?.post("/registry/replicas", &change).await?;
+async fn change_replicas(at: RegistryAddress, change: ReplicaChange) -> Result<String, CommandError> {
+    let body: Value = at.client()?.post("/registry/replicas", &change).await?;
     Ok(match change {
-        ReplicaChange::Lead(_) => format!("{} leads", done["leader"].as_str().unwrap_or("another replica")),
-        _ => format!("{} replicas", done["replicas"]),
+        ReplicaChange::Lead(_) => format!("{} leads", body["leader"].as_str().unwrap_or("another replica")),
+        _ => format!("{} replicas", body["replicas"]),
     })
 }
 
-/// Writes a file whole or not at all.
-fn keep(file: &Path, backup: &Backup) -> std::io::Result<()> {
-    let folder = file.parent().filter(|folder| !folder.as_os_str().is_empty()).unwrap_or(Path::new("."));
-    let mut fresh = tempfile::NamedTempFile::new_in(folder)?;
-    serde_json::to_writer(&mut fresh, backup)?;
-    fresh.flush()?;
-    fresh.as_file().sync_all()?;
-    fresh.persist(file).map_err(|error| error.error)?;
+/// Writes a backup file atomically.
+fn write_backup(file: &Path, backup: &Backup) -> std::io::Result<()> {
+    let directory =
+        file.parent().filter(|directory| !directory.as_os_str().is_empty()).unwrap_or(Path::new("."));
+    let mut temporary = tempfile::NamedTempFile::new_in(directory)?;
+    serde_json::to_writer(&mut temporary, backup)?;
+    temporary.flush()?;
+    temporary.as_file().sync_all()?;
+    temporary.persist(file).map_err(|error| error.error)?;
     Ok(())
 }
 
-async fn restore(file: &Path, at: At) -> Result<String, Failed> {
-    let problem = |text: String| Failed::Usage(format!("{}: {text}", file.display()));
-    let size = std::fs::metadata(file).map_err(|error| problem(error.to_string()))?.len();
-    if size > MOST_BACKUP {
-        return Err(problem(format!("{size} bytes are too many; {MOST_BACKUP} at most")));
+async fn restore(file: &Path, at: RegistryAddress) -> Result<String, CommandError> {
+    let file_error = |text: String| CommandError::Usage(format!("{}: {text}", file.display()));
+    let size = std::fs::metadata(file).map_err(|error| file_error(error.to_string()))?.len();
+    if size > MAX_BACKUP_BYTES {
+        return Err(file_error(format!("file too large: {size} bytes, the maximum is {MAX_BACKUP_BYTES}")));
     }
-    let text = std::fs::read(file).map_err(|error| problem(error.to_string()))?;
-    let backup: Backup = serde_json::from_slice(&text).map_err(|error| problem(error.to_string()))?;
+    let text = std::fs::read(file).map_err(|error| file_error(error.to_string()))?;
+    let backup: Backup = serde_json::from_slice(&text).map_err(|error| file_error(error.to_string()))?;
     if backup.format != Backup::FORMAT {
-        return Err(problem(format!("format {} is not known, but {}", backup.format, Backup::FORMAT)));
+        return Err(file_error(format!(
+            "unsupported backup format {}; expected {}",
+            backup.format,
+            Backup::FORMAT
+        )));
     }
     let mut client = at.client()?;
     let status: Value = client.get("/registry/status").await?;
     if status["fleet"].as_str() != Some(backup.fleet.as_str()) {
-        return Err(problem(format!(
-            "it is of fleet {:?}, and the registry is of {}",
+        return Err(file_error(format!(
+            "backup of fleet {:?}, but the registry belongs to fleet {}",
             backup.fleet, status["fleet"]
         )));
     }
@@ -307,15 +320,15 @@
     } else {
         backup.lines.chunks(MAX_PART_LINES).map(<[_]>::to_vec).collect()
     };
-    let (count, mut done) = (parts.len() as u32, Value::Null);
+    let (count, mut body) = (parts.len() as u32, Value::Null);
     for (part, lines) in (0..).zip(parts) {
-        done = client.post("/registry/restore", &BackupPart { part, parts: count, lines }).await?;
+        body = client.post("/registry/restore", &BackupPart { part, parts: count, lines }).await?;
     }
-    Ok(format!("{} instances restored: version {}", backup.lines.len(), done["rev"]))
+    Ok(format!("{} instances restored: revision {}", backup.lines.len(), body["rev"]))
 }
 
-/// A status in lines.
-fn told(status: &Value) -> String {
+/// Formats a status as text.
+fn format_status(status: &Value) -> String {
     let number =
         |value: &Value| value.as_u64().map_or_else(|| "unknown".to_owned(), |number| number.to_string());
     let ready = match status["unready"].as_str() {
@@ -323,8 +336,8 @@
         None => "ready".to_owned(),
     };
     let mut text = format!(
-        "fleet {}, replica {}: {ready}\nversion {} of incarnation {}, at most {} ms old; {} watches wait\nterm {}, entry {} \
-         applied, store {} KiB",
+        "fleet {}, replica {}: {ready}\nrevision {} of incarnation {}, at most {} ms old; {} waiting watches\nterm {}, applied \
+         entry {}, store {} KiB",
         status["fleet"].as_str().unwrap_or("?"),
         number(&status["id"]),
         number(&status["rev"]),
@@ -335,18 +348,18 @@
         number(&status["applied"]),
         status["store_bytes"].as_u64().unwrap_or(0) / 1024,
     );
-    for one in status["replicas"].as_array().into_iter().flatten() {
-        let role = match (one["leads"].as_bool(), one["votes"].as_bool()) {
+    for replica in status["replicas"].as_array().into_iter().flatten() {
+        let role = match (replica["leads"].as_bool(), replica["votes"].as_bool()) {
             (Some(true), _) => "leads",
             (_, Some(true)) => "follows",
             _ => "learns",
         };
-        let behind = one["entries_behind"].as_u64().map(|entries| format!(", {entries} entries behind"));
+        let behind = replica["entries_behind"].as_u64().map(|entries| format!(", {entries} entries behind"));
         text.push_str(&format!(
             "\nreplica {} at {} (clients {}): {role}{}",
-            number(&one["id"]),
-            one["peer"].as_str().unwrap_or("?"),
-            one["client"].as_str().unwrap_or("?"),
+            number(&replica["id"]),
+            replica["peer"].as_str().unwrap_or("?"),
+            replica["client"].as_str().unwrap_or("?"),
             behind.unwrap_or_default(),
         ));
     }
@@ -369,41 +382,41 @@
         settings.data = self.data.unwrap_or(settings.data);
         settings.listen = self.listen.unwrap_or(settings.listen);
         settings.peer_listen = self.peer_listen.unwrap_or(settings.peer_listen);
-        settings.check().map_err(|problem| format!("{}: {}", problem.key, problem.text))?;
+        settings.check().map_err(|error| format!("{}: {}", error.key, error.text))?;
         Ok(settings)
     }
 
     async fn run(self) -> Exit {
         let settings = match self.settings() {
             Ok(settings) => settings,
-            Err(problem) => {
-                complain(&problem);
+            Err(error) => {
+                print_error(&error);
                 return Exit::Usage;
             }
         };
-        // A limit on the size of files comes as an error of the write, and not as the program's end.
-        let _too_large = signal(SignalKind::from_raw(rustix::process::Signal::XFSZ.as_raw()));
-        let told = (signal(SignalKind::terminate()), signal(SignalKind::interrupt()));
-        let (Ok(mut terminate), Ok(mut interrupt)) = told else {
-            complain("signals can't be heeded");
-            return Exit::Machine;
+        // With a handler for SIGXFSZ, a write beyond the file size limit fails with an error and does not kill the process.
+        let _file_size_signal = signal(SignalKind::from_raw(rustix::process::Signal::XFSZ.as_raw()));
+        let signals = (signal(SignalKind::terminate()), signal(SignalKind::interrupt()));
+        let (Ok(mut terminate), Ok(mut interrupt)) = signals else {
+            print_error("failed to install signal handlers");
+            return Exit::System;
         };
         parent_process::exit_with_parent();
-        let serving = match serve(settings).await {
-            Ok(serving) => serving,
+        let running = match serve(settings).await {
+            Ok(running) => running,
             Err(error) => {
-                complain(&error.to_string());
-                return if matches!(error, ServeError::Listen { .. }) { Exit::Machine } else { Exit::Usage };
+                print_error(&error.to_string());
+                return if matches!(error, ServeError::Listen { .. }) { Exit::System } else { Exit::Usage };
             }
         };
-        let doors = serving.addresses;
-        tracing::info!(listen = %doors.clients, peers = %doors.peers, "serves");
+        let addresses = running.addresses;
+        tracing::info!(listen = %addresses.clients, peers = %addresses.peers, "listening");
         tokio::select! {
             _ = terminate.recv() => {}
             _ = interrupt.recv() => {}
         }
-        tracing::info!("stops");
-        serving.replica.stop().await;
-        Exit::Well
+        tracing::info!("shutting down");
+        running.replica.stop().await;
+        Exit::Success
     }
 }
--- a/cli/src/up.rs
+++ b/cli/src/up.rs
@@ -1,4 +1,4 @@
-//! `flaxdale up`: a small fleet at once, with nothing to write first.
+//! `flaxdale up`: starts a small fleet without any configuration.
 
 use std::path::PathBuf;
 
@@ -7,41 +7,43 @@
 use flaxdale_rig::shared::lock;
 use flaxdale_rig::sockets::{self, RunError, RunOptions};
 
-use crate::print::{complain, end_live, live, say};
-use crate::rig::{runtime, told_to_stop};
-use crate::{Exit, keeper, node_program, own_program};
+use crate::print::{end_progress, print_error, print_line, show_progress};
+use crate::rig::{runtime, shutdown_signal};
+use crate::{Exit, cleanup_command, node_binary, registry_binary};
 
-/// Start a small fleet on loopback, with emulated app servers, discovery and some traffic, until Ctrl-C.
+/// Start a small fleet with emulated app servers and traffic on this machine.
 ///
-/// Nothing has to be written first. A line of figures is shown each second: requests asked for, the share served in
-/// time, refused and failed, the median and 99th percentile delay, and the servers in use.
+/// Needs no configuration. The fleet runs on loopback until Ctrl-C or SIGTERM. A status line is printed every second: the
+/// requests, the shares served in time, rejected and failed, the median and 99th percentile latency, and the numbers of
+/// available servers and nodes. Exit codes: 0 every rule was kept; 1 a rule was violated; 2 invalid arguments, nothing
+/// was started; 4 a system resource was unavailable.
 #[derive(Args)]
 pub struct Up {
-    /// How many nodes
+    /// Number of nodes
     #[arg(long, default_value_t = 3)]
     nodes: u32,
-    /// How many emulated app servers, in two zones
+    /// Number of emulated app servers, in two zones
     #[arg(long, default_value_t = 8)]
     servers: u32,
-    /// How many replicas of the fleet's own registry; with 0 a stand-in tells the list
+    /// Number of registry replicas; with 0, the rig itself serves the list of app servers
     #[arg(long, default_value_t = 0)]
     replicas: u32,
-    /// Requests a second; half of what the servers can do if absent
+    /// Requests per second [default: half of the capacity of the servers]
     #[arg(long)]
     rps: Option<f64>,
-    /// Seed of everything that is drawn
+    /// Seed of the random numbers
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// End by itself after so many seconds
+    /// Run for this many seconds instead of until Ctrl-C
     #[arg(long)]
     seconds: Option<f64>,
-    /// The node's program; the one beside this program if absent
+    /// Binary of the node [default: badgerpost in the directory of this program]
     #[arg(long, value_name = "PROGRAM")]
     node: Option<PathBuf>,
 }
 
 impl Up {
-    /// Runs the fleet until it is told to stop.
+    /// Runs the fleet until interrupted or until the given time has passed.
     pub fn run(self) -> Exit {
         let mut experiment = Experiment::default();
         (experiment.fleet.nodes, experiment.fleet.servers) = (self.nodes, self.servers);
@@ -51,66 +53,67 @@
         if let Some(seconds) = self.seconds {
             experiment.run.duration_s = seconds;
         }
-        if let Err(problem) = experiment.validate() {
-            complain(&problem.to_string());
+        if let Err(error) = experiment.validate() {
+            print_error(&error.to_string());
             return Exit::Usage;
         }
-        let binary = match node_program(self.node.as_ref()) {
+        let binary = match node_binary(self.node.as_ref()) {
             Ok(binary) => binary,
-            Err(problem) => {
-                complain(&problem);
+            Err(error) => {
+                print_error(&error);
                 return Exit::Usage;
             }
         };
-        let (folder, runtime) = match tempfile::Builder::new()
+        let (directory, runtime) = match tempfile::Builder::new()
             .prefix("flaxdale-up-")
             .tempdir()
-            .and_then(|folder| Ok((folder, runtime()?)))
+            .and_then(|directory| Ok((directory, runtime()?)))
         {
-            Ok(both) => both,
+            Ok(created) => created,
             Err(error) => {
-                complain(&error.to_string());
-                return Exit::Machine;
+                print_error(&error.to_string());
+                return Exit::System;
             }
         };
-        say(&format!(
-            "starting {} nodes and {} app servers in 2 zones; Ctrl-C ends them; logs are in {} meanwhile",
+        print_line(&format!(
+            "starting {} nodes and {} app servers in 2 zones; press Ctrl-C to stop; logs are in {} until then",
             self.nodes,
             self.servers,
-            folder.path().join("logs").display()
+            directory.path().join("logs").display()
         ));
-        let stage = RunOptions {
+        let options = RunOptions {
             experiment,
             seed: self.seed,
             node_binary: binary,
-            registry_binary: own_program(),
-            folder: folder.path().to_owned(),
-            cleanup_command: keeper(),
+            registry_binary: registry_binary(),
+            folder: directory.path().to_owned(),
+            cleanup_command: cleanup_command(),
             remove_folder: true,
             until_stopped: self.seconds.is_none(),
         };
-        let ran = runtime.block_on(async { sockets::run(stage, told_to_stop()?, live).await });
-        end_live();
-        match ran {
-            Ok(ran) => {
-                let total = lock(&ran.shared.stats).total();
-                let broken: u64 =
-                    lock(&ran.shared.tracker).invariants.reports().iter().map(|rule| rule.violated).sum();
+        let result =
+            runtime.block_on(async { sockets::run(options, shutdown_signal()?, show_progress).await });
+        end_progress();
+        match result {
+            Ok(run) => {
+                let total = lock(&run.shared.stats).total();
+                let violations: u64 =
+                    lock(&run.shared.tracker).invariants.reports().iter().map(|rule| rule.violated).sum();
                 let share = |part: u64| 100.0 * part as f64 / total.requests.max(1) as f64;
-                say(&format!(
-                    "{} requests in {:.0} s: {:.1}% in time, {:.1}% refused, {:.1}% failed; {broken} rules broken; all \
-                     processes have ended",
+                print_line(&format!(
+                    "{} requests in {:.0} s: {:.1}% in time, {:.1}% rejected, {:.1}% failed; {violations} rule violations; \
+                     all processes have ended",
                     total.requests,
-                    ran.load_duration_s,
+                    run.load_duration_s,
                     share(total.in_time),
                     share(total.rejected),
                     share(total.failed)
                 ));
-                if broken > 0 { Exit::Broken } else { Exit::Well }
+                if violations > 0 { Exit::Failure } else { Exit::Success }
             }
             Err(error) => {
-                complain(&error.to_string());
-                if matches!(error, RunError::TooManyLinks(_)) { Exit::Usage } else { Exit::Machine }
+                print_error(&error.to_string());
+                if matches!(error, RunError::TooManyLinks(_)) { Exit::Usage } else { Exit::System }
             }
         }
     }
