--- a/src/admission.rs
+++ b/src/admission.rs
@@ -41,26 +41,26 @@
             admitted
         };
         let admitted = (admitted / within_quota).min(1.0);
-        let mut left = admitted * arrival_rate;
+        let mut unallotted_rate = admitted * arrival_rate;
         for class in self.classes_by_priority() {
             let state = &mut self.classes[class];
             let arrival_rate = state.arrivals.per_second(self.now);
             // A class without recent arrivals is admitted, although nothing was left to allot to it.
             state.admit_probability = if admitted < 1.0 && arrival_rate > 0.1 {
-                (left / arrival_rate).clamp(MIN_ADMITTED_SHARE, 1.0)
+                (unallotted_rate / arrival_rate).clamp(MIN_ADMITTED_SHARE, 1.0)
             } else {
                 1.0
             };
-            left = (left - arrival_rate).max(0.0);
+            unallotted_rate = (unallotted_rate - arrival_rate).max(0.0);
         }
     }
 
-    /// Whether the backend is expected to answer the request in time. That this node has nothing in flight
-    /// there does not prove it idle, as other nodes may load it: it must not be known as slow either.
+    /// Whether the backend is expected to respond to the request in time. That this node has nothing in
+    /// flight there does not prove it idle, as other nodes may load it: it must not be known as slow either.
     pub(crate) fn meets_latency_target(&self, request: &Request, backend: &Backend) -> bool {
         let deadline =
             if self.now >= request.target_deadline { request.not_after } else { request.target_deadline };
-        let left = deadline.saturating_sub(self.now) as f64;
+        let time_left = deadline.saturating_sub(self.now) as f64;
         let slowness = backend.slowness(self.now, &self.settings.rules);
         let stretch = slowness * backend.load(self.nodes_per_zone());
         let state = &self.classes[request.class];
@@ -78,7 +78,7 @@
         // A backend too slow for the higher class even when idle need not be kept free for it.
         let load_limit =
             if slowness * IDLE_LOAD < state.load_limit { state.load_limit } else { f64::INFINITY };
-        idle || stretch <= load_limit.min(MAX_DELAY_SHARE * left / state.base_latency)
+        idle || stretch <= load_limit.min(MAX_DELAY_SHARE * time_left / state.base_latency)
     }
 
     /// Sends a request, or queues it if no backend can take it; with many nodes it is ended instead of
@@ -106,7 +106,7 @@
         order.into_iter().filter(unsent).take(9).count();
     }
 
-    /// Ends queued requests that can no longer be answered in time.
+    /// Ends queued requests that can no longer be served in time.
     pub(crate) fn expire_queue(&mut self, actions: &mut Vec<Action>) {
         let interval = self.housekeeping_interval();
         for id in self.queue.clone() {
--- a/src/api.rs
+++ b/src/api.rs
@@ -81,7 +81,7 @@
 pub enum DiscoveryMode {
     /// Discovery sends changes by itself.
     Push,
-    /// Discovery answers [`Action::Watch`] and [`Action::Fetch`] only.
+    /// Discovery responds to [`Action::Watch`] and [`Action::Fetch`] only.
     OnRequest,
 }
 
@@ -97,7 +97,7 @@
 /// Limits that the operator sets.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Most attempts of one request.
+    /// Maximum number of attempts of one request.
     pub max_attempts: u32,
     /// Whether two attempts of one request may be in flight at once.
     pub concurrent_attempts: bool,
@@ -112,7 +112,7 @@
 /// Parameters of the contract's rules.
 #[derive(Clone, Copy, Debug)]
 pub struct RuleParameters {
-    /// A final answer is accepted up to this long after the client's deadline.
+    /// A final response is accepted up to this long after the client's deadline.
     pub answer_slack: Nanos,
     /// A node in [`DiscoveryMode::OnRequest`] that has not polled for this long counts as notified of the
     /// list as it was then.
@@ -402,7 +402,7 @@
     DiscoveryFailed,
     /// The operator's overrides, which replace all earlier ones. A zone without one gets its full traffic.
     ZoneOverrides(Vec<ZoneOverride>),
-    /// A request arrived; it must get exactly one final answer.
+    /// A request arrived; it must get exactly one final response.
     Request(Arrival),
     /// An attempt ended.
     AttemptEnded(AttemptResult),
@@ -422,7 +422,7 @@
         /// The backend's load report, if any.
         report: LoadReport,
     },
-    /// The client disconnected; no answer is needed any more.
+    /// The client disconnected; no response is needed any more.
     ClientDisconnected {
         /// The request.
         request: RequestId,
@@ -451,14 +451,14 @@
         /// [`Balancer::handle`]: crate::Balancer::handle
         send_by: Option<Nanos>,
     },
-    /// Final answer: rejected; the client may safely retry.
+    /// Final response: rejected; the client may safely retry.
     Reject {
         /// The request.
         request: RequestId,
         /// How long the client is advised to wait before a retry; 0 for no advice.
         retry_after: Nanos,
     },
-    /// Final answer: failed; the request may have run.
+    /// Final response: failed; the request may have run.
     Fail {
         /// The request.
         request: RequestId,
--- a/src/backend_view.rs
+++ b/src/backend_view.rs
@@ -26,11 +26,11 @@
     /// Load in requests per unit of capacity: this node's, times the nodes that share the zone; with many
     /// nodes, the load that the list reports.
     pub(crate) fn load(&self, nodes_per_zone: f64) -> f64 {
-        let own = f64::from(self.in_flight) / self.capacity();
+        let own_load = f64::from(self.in_flight) / self.capacity();
         match self.requests_per_core {
-            Some(requests) if nodes_per_zone > MANY_NODES_PER_ZONE => IDLE_LOAD + requests.max(own),
-            None if nodes_per_zone > MANY_NODES_PER_ZONE => IDLE_LOAD + own,
-            _ => IDLE_LOAD + nodes_per_zone * own,
+            Some(requests) if nodes_per_zone > MANY_NODES_PER_ZONE => IDLE_LOAD + requests.max(own_load),
+            None if nodes_per_zone > MANY_NODES_PER_ZONE => IDLE_LOAD + own_load,
+            _ => IDLE_LOAD + nodes_per_zone * own_load,
         }
     }
 
--- a/src/concurrency.rs
+++ b/src/concurrency.rs
@@ -20,7 +20,7 @@
 pub(crate) const LIMIT_JITTER: f64 = 0.3;
 
 impl Zone {
-    /// Most attempts that this node may have in flight there.
+    /// Maximum number of attempts that this node may have in flight there.
     pub(crate) fn concurrency_limit(&self) -> f64 {
         self.concurrency_limit.unwrap_or(self.initial_limit).max(MIN_LIMIT)
     }
--- a/src/health.rs
+++ b/src/health.rs
@@ -5,8 +5,8 @@
 
 /// Consecutive failures that make a backend an outlier; a refused or broken connection counts twice.
 const EJECTION_THRESHOLD: u32 = 6;
-/// A connection attempt that fails after this time was not refused: the machine does not respond.
-const UNRESPONSIVE_AFTER: Nanos = 40 * MS;
+/// A connection attempt that fails after this time was not refused: the machine is unreachable.
+const UNREACHABLE_AFTER: Nanos = 40 * MS;
 /// Duration of the first ejection; doubles with each further one, up to 32-fold.
 const BASE_EJECTION: Nanos = SECOND;
 /// Pause after a backend rejected a request as full; doubles with each consecutive rejection, up to 16-fold.
@@ -38,7 +38,7 @@
             Outcome::Cancelled | Outcome::Moot => return,
         };
         let table_full =
-            outcome == Outcome::ConnectFailed && self.many_nodes() && result.elapsed < UNRESPONSIVE_AFTER;
+            outcome == Outcome::ConnectFailed && self.many_nodes() && result.elapsed < UNREACHABLE_AFTER;
         let rejected = outcome == Outcome::Full || table_full;
         let Some(backend) = self.backends.get_mut(&id) else { return };
         // Backs off, or a backend that rejects quickly would look idle and attract all traffic. With many
--- a/src/pick.rs
+++ b/src/pick.rs
@@ -8,7 +8,7 @@
 const DELAY_JITTER: f64 = 0.1;
 
 impl Balancer {
-    /// Picks among the permitted backends that should answer in time: with few nodes the one with the least
+    /// Picks among the permitted backends that should respond in time: with few nodes the one with the least
     /// expected delay; with many a random one, weighted by capacity and by the load that the list reports.
     pub(crate) fn pick_in_zone(&self, id: RequestId, zone: ZoneId) -> Option<BackendId> {
         // With many nodes, each uses a subset of the backends, as connections from all nodes would fill a
@@ -60,7 +60,7 @@
                 * backend.load(self.nodes_per_zone())
                 * failure_penalty
                 * (1.0 + DELAY_JITTER * random);
-            if best.is_none_or(|(least, _)| delay < least) {
+            if best.is_none_or(|(least_delay, _)| delay < least_delay) {
                 best = Some((delay, to));
             }
         }
--- a/src/requests.rs
+++ b/src/requests.rs
@@ -1,4 +1,4 @@
-//! Requests from arrival to final answer, and their attempts. Enforces the contract: every send passes
+//! Requests from arrival to final response, and their attempts. Enforces the contract: every send passes
 //! [`Balancer::permits`].
 
 use crate::api::*;
@@ -33,9 +33,9 @@
         // clients mark their retries, only marked ones count, as retries may get more time than first tries.
         let wait = arrival.not_after.saturating_sub(self.now);
         state.max_wait = state.max_wait.max(wait);
-        let late_is_worthless = self.settings.classes[class].late_value_share == 0.0;
+        let late_has_no_value = self.settings.classes[class].late_value_share == 0.0;
         let is_client_retry =
-            (arrival.is_retry || !self.settings.retries_marked) && (late_is_worthless || many_nodes);
+            (arrival.is_retry || !self.settings.retries_marked) && (late_has_no_value || many_nodes);
         let is_client_retry = is_client_retry && wait < state.max_wait - state.max_wait / 8;
         let client_started_at = arrival.not_after.saturating_sub(self.settings.classes[class].deadline);
         let first_try_at = if is_client_retry { client_started_at.min(self.now) } else { self.now };
@@ -58,7 +58,7 @@
         // Sheds load before it costs the backends anything: requests past their latency target, and more than
         // can be served in time. Otherwise retries would sustain an overload.
         let late = target_deadline <= self.now;
-        let expired = late && (late_is_worthless || (many_nodes && admit < 1.0));
+        let expired = late && (late_has_no_value || (many_nodes && admit < 1.0));
         let tenant = arrival.tenant.map_or(usize::MAX, |tenant| tenant as usize);
         if !expired {
             self.classes[class].arrivals.add(self.now, 1.0);
@@ -98,7 +98,8 @@
                     DedupGroup::Zone => first.zone == backend.member.zone,
                     DedupGroup::Cell => first.cell == backend.member.cell,
                 };
-                same_group && self.retry_deadline(request, backend).is_some_and(|end| self.now < end)
+                same_group
+                    && self.retry_deadline(request, backend).is_some_and(|deadline| self.now < deadline)
             }
         };
         // Stricter than the drain grace: nothing is sent to a backend once the list says that it drains.
@@ -156,7 +157,7 @@
         if let Health::Ejected { .. } = backend.health {
             backend.health = Health::HalfOpen { served: 0 };
         }
-        // With many nodes, an attempt whose answer would be late and of low value times out at the latency
+        // With many nodes, an attempt whose response would be late and of low value times out at the latency
         // target. With few, admitted requests seldom wait that long, and the retries would cost more.
         let late_value_share = self.settings.classes[class].late_value_share;
         let time_out_late = self.many_nodes()
--- a/src/retries.rs
+++ b/src/retries.rs
@@ -5,12 +5,12 @@
 
 /// A retryable attempt times out after this many times its expected delay, at least half the latency target.
 const TIMEOUT_DELAY_MULTIPLE: f64 = 4.0;
-/// Retry tokens that each arrival adds to the budget, and the most that a node can save.
+/// Retry tokens that each arrival adds to the budget, and the maximum that a node can save.
 pub(crate) const RETRY_TOKENS_PER_REQUEST: f64 = 0.1;
 pub(crate) const MAX_RETRY_TOKENS: f64 = 10.0;
 
 impl Balancer {
-    /// Most retry tokens of this node; lowered with many nodes, whose budgets add up.
+    /// Maximum number of retry tokens of this node; lowered with many nodes, whose budgets add up.
     pub(crate) fn max_retry_tokens(&self) -> f64 {
         (MAX_RETRY_TOKENS / self.nodes_per_zone()).max(1.0)
     }
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -2,14 +2,14 @@
 //!
 //! A cold backend is overloaded when all nodes together send it more than a multiple of its current capacity
 //! within the overload window. Nodes do not communicate, so each one takes a fixed share of the budget, and
-//! the shares are chosen to sum to at most the whole.
+//! the shares are chosen to sum to at most the full budget.
 
 use crate::api::*;
 use crate::backend_view::UTILISATION_MAX_AGE;
 use crate::state::*;
 
 /// Share of a cold backend's budget that all nodes together use based on measured capacity, and the largest
-/// multiple of it for a backend that answers faster than its ramp implies. Their product is about 1.
+/// multiple of it for a backend that responds faster than its ramp implies. Their product is about 1.
 const MEASURED_BUDGET_SHARE: f64 = 0.45;
 const MAX_SPEED_FACTOR: f64 = 2.2;
 /// Share of the budget that all nodes together use without measurements, and how much of `sqrt(budget) + 1`
@@ -89,7 +89,7 @@
         let window_s = rules.overload_window as f64 / SECOND as f64;
         let local = !self.many_nodes() || backend.member.zone == self.settings.home_zone;
         let capacity_estimate = zone.served_per_capacity / zone.mean_utilisation.max(MIN_UTILISATION);
-        // A backend that answers faster than its ramp implies has more capacity than assumed.
+        // A backend that responds faster than its ramp implies has more capacity than assumed.
         let max_speed_factor = if local { MAX_SPEED_FACTOR } else { 1.0 };
         let speed_factor = (1.0 / (ramp * backend.slowness(self.now, rules))).clamp(1.0, max_speed_factor);
         // With many nodes, only those that have the backend in their subset send to it, so they divide the
--- a/src/state.rs
+++ b/src/state.rs
@@ -104,7 +104,7 @@
     Queued,
     /// Its response has started.
     Streaming,
-    /// Answered or abandoned; attempts may still be in flight.
+    /// Has its final response or was abandoned by the client; attempts may still be in flight.
     Ended,
 }
 
--- a/src/zone_choice.rs
+++ b/src/zone_choice.rs
@@ -190,11 +190,11 @@
         if home_open && !self.has_concurrency(home, 1.0) {
             return None;
         }
-        // If neither can answer in time (full, ejected, cold or empty), tries any zone. If the whole home
+        // If neither can respond in time (full, ejected, cold or empty), tries any zone. If the whole home
         // subset is down, the zone probably is; the rest of it is tried only when no other zone can take the
         // request.
-        let to = (0..self.overflow_zones.len()).find_map(|at| {
-            let zone = self.overflow_zones[at];
+        let to = (0..self.overflow_zones.len()).find_map(|index| {
+            let zone = self.overflow_zones[index];
             if self.draw_zone_share(zone) { self.pick_in_zone(id, zone) } else { None }
         });
         let in_subset = |b: &Backend| {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -12,9 +12,9 @@
     pub next_id: u64,
 }
 
-pub fn class(aim_ms: u64, deadline_ms: u64, idempotency: Idempotency) -> ClassSettings {
+pub fn class(latency_target_ms: u64, deadline_ms: u64, idempotency: Idempotency) -> ClassSettings {
     ClassSettings {
-        latency_target: aim_ms * MS,
+        latency_target: latency_target_ms * MS,
         deadline: deadline_ms * MS,
         idempotency,
         ..ClassSettings::default()
--- a/tests/contract.rs
+++ b/tests/contract.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_timeout_at_the_deadline_gets_a_final_answer() {
+fn a_timeout_at_the_deadline_gets_a_final_response() {
     let mut node = Node::new(settings(Idempotency::NonIdempotent), three_zones());
     let (request, actions) = node.request(100 * MS);
     assert!(first_send(&actions).is_some());
@@ -75,9 +75,9 @@
     for outcome in MAY_HAVE_RUN {
         let mut node = Node::new(settings(keyed(DedupGroup::Zone)), three_zones());
         let (request, first) = node.request(SECOND);
-        let again = first_send(&node.end_attempt(request, 0, outcome, LoadReport::default()));
-        assert_ne!(again, None, "{outcome:?}");
-        assert!(again.is_none_or(|to| to.0 < 2), "retried in another zone after {first:?}");
+        let retried_to = first_send(&node.end_attempt(request, 0, outcome, LoadReport::default()));
+        assert_ne!(retried_to, None, "{outcome:?}");
+        assert!(retried_to.is_none_or(|to| to.0 < 2), "retried in another zone after {first:?}");
 
         let mut single = settings(keyed(DedupGroup::Zone));
         single.limits.concurrent_attempts = false;
@@ -189,7 +189,7 @@
         ..settings(Idempotency::Idempotent)
     };
     let mut node = Node::new(config, vec![member(0, 0), member(1, 0)]);
-    let ask = |node: &mut Node, hint| {
+    let submit_request = |node: &mut Node, hint| {
         let request = RequestId(node.next_id);
         node.next_id += 1;
         let (class, not_after) = (ClassId(0), node.now + 90 * SECOND);
@@ -206,7 +206,7 @@
         )
     };
     for _ in 0..600 {
-        let (request, _) = ask(&mut node, Some(20 * MS));
+        let (request, _) = submit_request(&mut node, Some(20 * MS));
         node.advance(20 * MS);
         node.end_attempt(request, 0, Outcome::Served, util(0.5));
     }
@@ -215,8 +215,9 @@
         vec![Member { online_since: Some(node.now - 8 * SECOND), ..member(9, 0) }],
     );
     let cold = |actions: Vec<Action>| usize::from(first_send(&actions) == Some(BackendId(9)));
-    let admitted: usize =
-        (0..500).map(|turn| cold(ask(&mut node, Some(if turn % 2 == 0 { MS } else { 39 * MS })).1)).sum();
+    let admitted: usize = (0..500)
+        .map(|turn| cold(submit_request(&mut node, Some(if turn % 2 == 0 { MS } else { 39 * MS })).1))
+        .sum();
     // A warm backend does one second of work per second, so the node's share is 0.4 x 2 x 0.34 x 2: 1.07 s of
     // work in 2 s, or 18 pairs of requests that count as 20 ms and 39 ms.
     assert!((1..=40).contains(&admitted), "{admitted} requests to the cold backend");
@@ -237,10 +238,10 @@
     assert_eq!(send_by_of(&actions), Some(None), "the first attempt has no limit");
     let sent_at = node.now;
     node.now += 50 * MS;
-    let again =
+    let retry_send_by =
         send_by_of(&node.end_attempt(request, 0, Outcome::Reset, LoadReport::default())).expect("a retry");
-    let end = again.expect("a deadline for sending");
-    assert!(node.now < end && end + 30 * MS < sent_at + 200 * MS, "{}", (end - sent_at) / MS);
+    let send_by = retry_send_by.expect("a deadline for sending");
+    assert!(node.now < send_by && send_by + 30 * MS < sent_at + 200 * MS, "{}", (send_by - sent_at) / MS);
     // A retry that would be sent within the window but run after it is not sent.
     let mut node = Node::new(settings(keyed(DedupGroup::Zone)), three_zones());
     let (request, _) = node.request(SECOND);
--- a/tests/event_sequences.rs
+++ b/tests/event_sequences.rs
@@ -56,11 +56,11 @@
                         Idempotency::Idempotent | Idempotency::Keyed { group: DedupGroup::All, .. }
                     );
                     assert!(retry_safe || !ran, "rejected a request that may have run");
-                    assert!(!std::mem::replace(&mut tracked.ended, true), "two final answers");
+                    assert!(!std::mem::replace(&mut tracked.ended, true), "two final responses");
                 }
                 Action::Fail { request } => {
                     let tracked = self.requests.get_mut(&request).expect("a known request");
-                    assert!(!std::mem::replace(&mut tracked.ended, true), "two final answers");
+                    assert!(!std::mem::replace(&mut tracked.ended, true), "two final responses");
                 }
                 _ => {}
             }
@@ -79,12 +79,12 @@
             "two attempts in flight"
         );
         let ran: Vec<_> = tracked.attempts.iter().filter(|a| a.2.is_none_or(Outcome::may_have_run)).collect();
-        if let Some(&&(first, at, _)) = ran.first() {
+        if let Some(&&(first, sent_at, _)) = ran.first() {
             match self.idempotency_by_class[tracked.class] {
                 Idempotency::Idempotent => {}
                 Idempotency::NonIdempotent => panic!("a non-idempotent request was retried"),
                 Idempotency::Keyed { group, window } => {
-                    assert!(self.now <= at + window, "retried after the deduplication window");
+                    assert!(self.now <= sent_at + window, "retried after the deduplication window");
                     let first = self.listed[&first];
                     assert!(match group {
                         DedupGroup::All => true,
@@ -236,7 +236,7 @@
         let actions = node.handle(event);
         checker.check(&actions);
     }
-    // Every attempt in flight times out; then all requests must have been answered.
+    // Every attempt in flight times out; then all requests must have a final response.
     for _ in 0..200 {
         checker.now += 10 * MS;
         node.now = checker.now;
@@ -246,7 +246,7 @@
             .requests
             .iter()
             .flat_map(|(&id, t)| t.attempts.iter().enumerate().map(move |(n, a)| (id, n, a.2, t.not_after)))
-            .filter(|(_, _, outcome, end)| outcome.is_none() && *end <= checker.now)
+            .filter(|(_, _, outcome, not_after)| outcome.is_none() && *not_after <= checker.now)
             .map(|(id, n, _, _)| (id, n))
             .collect();
         for (request, attempt) in due {
@@ -267,7 +267,7 @@
         }
     }
     let open = checker.requests.values().filter(|tracked| !tracked.ended).count();
-    assert_eq!(open, 0, "seed {seed}: requests without a final answer");
+    assert_eq!(open, 0, "seed {seed}: requests without a final response");
     assert_eq!(node.balancer.open_requests(), 0, "seed {seed}: ended requests are still tracked");
 }
 
--- a/tests/many_nodes.rs
+++ b/tests/many_nodes.rs
@@ -25,20 +25,20 @@
     node
 }
 
-/// Sends two requests a second, each served after `took`, with a new list every second.
-fn serve(node: &mut Node, seconds: u64, held: [f64; 3], took: Nanos) -> Vec<BackendId> {
+/// Sends two requests a second, each served after `response_time`, with a new list every second.
+fn serve(node: &mut Node, seconds: u64, held: [f64; 3], response_time: Nanos) -> Vec<BackendId> {
     let mut used = Vec::new();
     for turn in 0..seconds * 2 {
         if turn % 2 == 0 {
             node.update_list(ListScope::Full, listed(held));
         }
         let (request, actions) = node.request(SECOND);
-        node.now += took;
+        node.now += response_time;
         if let Some(to) = first_send(&actions) {
             used.push(to);
-            node.end_attempt_after(request, 0, Outcome::Served, took, LoadReport::default());
+            node.end_attempt_after(request, 0, Outcome::Served, response_time, LoadReport::default());
         }
-        node.now += SECOND / 2 - took;
+        node.now += SECOND / 2 - response_time;
     }
     used
 }
@@ -384,9 +384,9 @@
         if turn >= 200 && slow_backend.is_none() {
             slow_backend = Some(to);
         }
-        let took = if slow_backend == Some(to) { 400 * MS } else { 40 * MS };
+        let response_time = if slow_backend == Some(to) { 400 * MS } else { 40 * MS };
         used[usize::from(slow_backend == Some(to))] += usize::from(turn > 300);
-        node.end_attempt_after(request, 0, Outcome::Served, took, LoadReport::default());
+        node.end_attempt_after(request, 0, Outcome::Served, response_time, LoadReport::default());
         node.advance(50 * MS);
     }
     // Each of the eight nodes that use the backend sends it one trial every 2.4 s, over 45 s.
@@ -395,19 +395,20 @@
 }
 
 /// Requests sent to the fifteen backends of a home zone in the 4 s after it returned cold, by its thirty
-/// nodes with sixteen requests a second each. A cold backend responds after `took`, all others after 40 ms.
-fn sent_to_a_cold_home(took: Nanos) -> usize {
+/// nodes with sixteen requests a second each. A cold backend responds after `response_time`, all others after
+/// 40 ms.
+fn sent_to_a_cold_home(response_time: Nanos) -> usize {
     let config = Settings { node_count: 60, zone_count: 2, ..settings(Idempotency::NonIdempotent) };
     let home = |since| (0..15).map(|b| Member { online_since: since, ..member(b, 0) }).collect::<Vec<_>>();
     let gone = || (0..15).map(|b| Member { stage: Stage::Gone, ..member(b, 0) }).collect::<Vec<_>>();
     let at_home = |to: BackendId| to.0 < 15;
-    let run_seconds = |node: &mut Node, seconds: usize, took: Nanos| {
+    let run_seconds = |node: &mut Node, seconds: usize, response_time: Nanos| {
         let run_request = |node: &mut Node| {
             let (request, actions) = node.request(SECOND);
             let to = first_send(&actions)?;
-            let took = if at_home(to) { took } else { 40 * MS };
-            node.now += took;
-            node.end_attempt_after(request, 0, Outcome::Served, took, LoadReport::default());
+            let response_time = if at_home(to) { response_time } else { 40 * MS };
+            node.now += response_time;
+            node.end_attempt_after(request, 0, Outcome::Served, response_time, LoadReport::default());
             Some(to)
         };
         let mut to_home = 0;
@@ -427,7 +428,7 @@
         run_seconds(&mut node, 120, 40 * MS);
         let since = Some(node.now - 4 * SECOND);
         node.update_list(ListScope::Changes, home(since));
-        to_home += run_seconds(&mut node, 4, took);
+        to_home += run_seconds(&mut node, 4, response_time);
     }
     to_home
 }
@@ -487,7 +488,7 @@
     assert!(first > 10 && retries < first / 3, "{first} first tries and {retries} retries of 60 sent");
 }
 
-/// Guards against counting a retry with little time left as a sign of overload when it is answered fast but
+/// Guards against counting a retry with little time left as a sign of overload when it is served fast but
 /// too late.
 #[test]
 fn a_response_too_late_for_a_short_retry_does_not_lower_the_concurrency_limit() {
@@ -508,10 +509,10 @@
     assert!(admitted >= 78, "{admitted} of 80 first tries sent");
 }
 
-/// Guards against trying every backend of an unresponsive home zone in turn: each try waits for a connect
+/// Guards against trying every backend of an unreachable home zone in turn: each try waits for a connect
 /// timeout.
 #[test]
-fn an_unresponsive_zone_is_left_for_another_one() {
+fn an_unreachable_zone_is_left_for_another_one() {
     let config = Settings { node_count: 40, zone_count: 2, ..settings(Idempotency::NonIdempotent) };
     let mut node = Node::with_seed(3, config, (0..40).map(|b| member(b, b / 20)).collect());
     node.now += SECOND;
@@ -522,7 +523,7 @@
         node.now += 60 * MS;
         let (mut to, mut attempt) = (first_send(&actions), 0);
         while let Some(backend) = to {
-            let (outcome, took) = if backend.0 < 20 {
+            let (outcome, elapsed) = if backend.0 < 20 {
                 to_home += 1;
                 tried.insert(backend);
                 (Outcome::ConnectFailed, 200 * MS)
@@ -530,14 +531,20 @@
                 served += 1;
                 (Outcome::Served, 40 * MS)
             };
-            to = first_send(&node.end_attempt_after(request, attempt, outcome, took, LoadReport::default()));
+            to = first_send(&node.end_attempt_after(
+                request,
+                attempt,
+                outcome,
+                elapsed,
+                LoadReport::default(),
+            ));
             attempt += 1;
         }
     }
-    assert!(tried.len() <= 4, "{} backends of the unresponsive zone tried", tried.len());
+    assert!(tried.len() <= 4, "{} backends of the unreachable zone tried", tried.len());
     assert!(
         to_home < 50 && served > 200,
-        "{to_home} sent to the unresponsive zone, {served} served by the other"
+        "{to_home} sent to the unreachable zone, {served} served by the other"
     );
 }
 
@@ -549,17 +556,17 @@
     let mut node =
         Node::with_seed(3, Settings { node_count: NODES, ..settings(Idempotency::NonIdempotent) }, members);
     node.now += 10 * SECOND;
-    let answers: Vec<(bool, bool)> = (0..200)
+    let results: Vec<(bool, bool)> = (0..200)
         .map(|_| {
             let (_, actions) = node.request(SECOND);
             node.advance(5 * MS);
             (first_send(&actions).is_some(), rejected(&actions))
         })
         .collect();
-    let out = answers.iter().filter(|answer| answer.0).count();
-    assert!((3..=8).contains(&out), "{out} of 200 sent in a second");
+    let sent = results.iter().filter(|result| result.0).count();
+    assert!((3..=8).contains(&sent), "{sent} of 200 sent in a second");
     assert!(
-        answers.iter().all(|answer| answer.0 != answer.1),
+        results.iter().all(|result| result.0 != result.1),
         "a request that is not sent is rejected at once"
     );
 }
--- a/tests/regressions.rs
+++ b/tests/regressions.rs
@@ -269,10 +269,10 @@
     for turn in 0..1000 {
         // Both classes arrive all the time; every second, a burst of the first one overflows the home zone.
         let mut actions = node.advance(10 * MS);
-        for place in 0..if turn % 100 == 99 { 30 } else { 2 } {
+        for position in 0..if turn % 100 == 99 { 30 } else { 2 } {
             let request = RequestId(node.next_id);
             node.next_id += 1;
-            let class = ClassId(u32::from(place == 1));
+            let class = ClassId(u32::from(position == 1));
             let not_after = node.now + SECOND;
             let arrival =
                 Arrival { request, class, cost_hint: None, is_retry: false, tenant: None, not_after };
@@ -303,7 +303,7 @@
     assert!(max_remote > 1, "at most {max_remote} in flight at the slow backend");
 }
 
-/// Guards against waiting for a hung backend until the client gives up while another one could answer.
+/// Guards against waiting for a hung backend until the client gives up while another one could respond.
 #[test]
 fn an_attempt_that_may_be_retried_times_out_on_a_hung_backend() {
     let timeouts = |actions: &[Action]| -> Vec<(BackendId, Option<Nanos>)> {
@@ -324,7 +324,7 @@
         let [(first, timeout)] = timeouts(&actions)[..] else { panic!("one send: {actions:?}") };
         assert_eq!(timeout.is_some(), repeats, "{idempotency:?}: {timeout:?}");
         let Some(timeout) = timeout else { continue };
-        // Longer than a slow response takes, and early enough for another backend to answer in time.
+        // Longer than a slow response takes, and early enough for another backend to respond in time.
         assert!((100 * MS..=250 * MS).contains(&timeout), "{timeout}");
         node.now += timeout;
         let retry = node.end_attempt_after(request, 0, Outcome::TimedOut, timeout, LoadReport::default());
--- a/tests/slow_start/fleet.rs
+++ b/tests/slow_start/fleet.rs
@@ -14,7 +14,7 @@
 /// A server that holds this many requests rejects further ones.
 const MAX_HELD: usize = 24;
 const DEADLINE: Nanos = 500 * MS;
-/// Most tries of one client, and the time from a failed one to the next.
+/// Maximum number of tries of one client, and the time from a failed one to the next.
 const MAX_TRIES: u32 = 4;
 const RETRY_DELAY: Nanos = 5 * MS;
 const WARM_UP: Nanos = 8 * SECOND;
@@ -121,7 +121,7 @@
 enum SimEvent {
     Arrival,
     Retry { node: usize, not_after: Nanos, tries: u32 },
-    Answer { node: usize, request: RequestId, attempt: u32, outcome: ServerResult },
+    AttemptEnded { node: usize, request: RequestId, attempt: u32, outcome: ServerResult },
     Timer { node: usize, token: u64 },
     Crash { server: usize },
     Gone { server: usize },
@@ -152,7 +152,7 @@
     zone: u32,
     up: bool,
     listed: bool,
-    since: Option<Nanos>,
+    started_at: Option<Nanos>,
     completions: VecDeque<Nanos>,
     busy_until: Nanos,
     utilisation: f64,
@@ -165,7 +165,7 @@
     tries: u32,
     /// When each attempt was sent and to which server; `None` once it has ended.
     attempts: Vec<Option<(Nanos, usize)>>,
-    answered: bool,
+    ended: bool,
 }
 
 struct Node {
@@ -181,8 +181,8 @@
     sequence: u64,
     rng: Rng,
     nodes: Vec<Node>,
-    weights: Vec<f64>,
-    weights_at: Nanos,
+    client_weights: Vec<f64>,
+    client_weights_at: Nanos,
     servers: Vec<Server>,
     events: BinaryHeap<Reverse<(Nanos, u64, SimEvent)>>,
     worst: Option<Overload>,
@@ -196,7 +196,7 @@
                 zone: number % scenario.zones,
                 up: true,
                 listed: true,
-                since: None,
+                started_at: None,
                 completions: VecDeque::new(),
                 busy_until: 0,
                 utilisation: 0.0,
@@ -231,8 +231,8 @@
             sequence: 0,
             nodes: nodes.collect(),
             rng,
-            weights: Vec::new(),
-            weights_at: 0,
+            client_weights: Vec::new(),
+            client_weights_at: 0,
             servers,
             events: BinaryHeap::new(),
             worst: None,
@@ -258,9 +258,9 @@
         for (turn, &server) in order[..count].iter().enumerate() {
             self.schedule(WARM_UP, SimEvent::Crash { server });
             self.schedule(WARM_UP + SECOND, SimEvent::Gone { server });
-            let back = WARM_UP + 2 * SECOND + turn as Nanos * self.scenario.restart_interval;
-            self.schedule(back, SimEvent::Return { server });
-            self.schedule(back + self.scenario.discovery_delay, SimEvent::Listed { server });
+            let return_at = WARM_UP + 2 * SECOND + turn as Nanos * self.scenario.restart_interval;
+            self.schedule(return_at, SimEvent::Return { server });
+            self.schedule(return_at + self.scenario.discovery_delay, SimEvent::Listed { server });
         }
     }
 
@@ -295,7 +295,7 @@
                 self.send_request(node, self.now + DEADLINE, 1);
             }
             SimEvent::Retry { node, not_after, tries } => self.send_request(node, not_after, tries),
-            SimEvent::Answer { node, request, attempt, outcome } => {
+            SimEvent::AttemptEnded { node, request, attempt, outcome } => {
                 self.on_attempt_ended(node, request, attempt, outcome);
             }
             SimEvent::Timer { node, token } => self.handle(node, Event::Timer { token }),
@@ -308,8 +308,8 @@
                 self.publish_list();
             }
             SimEvent::Return { server } => {
-                let back = &mut self.servers[server];
-                (back.up, back.since, back.busy_until) = (true, Some(self.now), self.now);
+                let restarted = &mut self.servers[server];
+                (restarted.up, restarted.started_at, restarted.busy_until) = (true, Some(self.now), self.now);
             }
             SimEvent::Listed { server } => {
                 self.servers[server].listed = true;
@@ -320,16 +320,16 @@
 
     /// The node of a new client.
     fn random_node(&mut self) -> usize {
-        if self.weights.is_empty() || self.now >= self.weights_at + 2 * SECOND {
-            self.weights_at = self.now;
+        if self.client_weights.is_empty() || self.now >= self.client_weights_at + 2 * SECOND {
+            self.client_weights_at = self.now;
             let skew = self.scenario.skew;
-            self.weights =
+            self.client_weights =
                 (0..self.nodes.len()).map(|_| 1.0 - skew + skew * self.rng.unit().powi(4) * 5.0).collect();
         }
-        let mut left = self.rng.unit() * self.weights.iter().sum::<f64>();
-        for (node, weight) in self.weights.iter().enumerate() {
-            left -= weight;
-            if left <= 0.0 {
+        let mut remaining_weight = self.rng.unit() * self.client_weights.iter().sum::<f64>();
+        for (node, weight) in self.client_weights.iter().enumerate() {
+            remaining_weight -= weight;
+            if remaining_weight <= 0.0 {
                 return node;
             }
         }
@@ -342,7 +342,7 @@
             backend: BackendId(number as u32),
             zone: ZoneId(server.zone),
             weight: 1.0,
-            online_since: server.since,
+            online_since: server.started_at,
             ..Member::default()
         };
         let listed = self.servers.iter().enumerate().filter(|(_, server)| server.listed);
@@ -358,7 +358,7 @@
         }
         let request = RequestId(self.nodes[node].next_id);
         self.nodes[node].next_id += 1;
-        let pending = Pending { not_after, tries, attempts: Vec::new(), answered: false };
+        let pending = Pending { not_after, tries, attempts: Vec::new(), ended: false };
         self.nodes[node].pending.insert(request, pending);
         let arrival =
             Arrival { request, class: ClassId(0), cost_hint: None, is_retry: false, tenant: None, not_after };
@@ -384,7 +384,7 @@
 
     fn on_rejected(&mut self, node: usize, request: RequestId) {
         let Some(pending) = self.nodes[node].pending.get_mut(&request) else { return };
-        pending.answered = true;
+        pending.ended = true;
         if pending.tries < MAX_TRIES {
             let (not_after, tries) = (pending.not_after, pending.tries + 1);
             self.schedule(self.now + RETRY_DELAY, SimEvent::Retry { node, not_after, tries });
@@ -402,7 +402,10 @@
         } else {
             (completed_at, outcome)
         };
-        self.schedule(completed_at.max(self.now + 1), SimEvent::Answer { node, request, attempt, outcome });
+        self.schedule(
+            completed_at.max(self.now + 1),
+            SimEvent::AttemptEnded { node, request, attempt, outcome },
+        );
     }
 
     /// When and how a server completes a request that it receives now.
@@ -414,7 +417,7 @@
         if !server.up {
             return (now + MS / 2, ServerResult::ConnectionRefused);
         }
-        while server.completions.front().is_some_and(|&end| end <= now) {
+        while server.completions.front().is_some_and(|&completed_at| completed_at <= now) {
             server.completions.pop_front();
         }
         if server.completions.len() >= MAX_HELD {
@@ -427,8 +430,8 @@
     }
 
     fn ramp(&self, number: usize) -> f64 {
-        let Some(since) = self.servers[number].since else { return 1.0 };
-        let age = (self.now - since) as f64 / self.rules.slow_start_window as f64;
+        let Some(started_at) = self.servers[number].started_at else { return 1.0 };
+        let age = (self.now - started_at) as f64 / self.rules.slow_start_window as f64;
         (self.rules.initial_capacity + (1.0 - self.rules.initial_capacity) * age).min(1.0)
     }
 
@@ -453,11 +456,11 @@
 
     fn on_attempt_ended(&mut self, node: usize, request: RequestId, attempt: u32, outcome: ServerResult) {
         let Some(pending) = self.nodes[node].pending.get_mut(&request) else { return };
-        let Some((sent, server)) = pending.attempts[attempt as usize].take() else { return };
-        let ended = pending.answered || outcome == ServerResult::Served;
-        pending.answered = ended;
-        let elapsed = self.now - sent;
-        if pending.answered && pending.attempts.iter().all(Option::is_none) {
+        let Some((sent_at, server)) = pending.attempts[attempt as usize].take() else { return };
+        let ended = pending.ended || outcome == ServerResult::Served;
+        pending.ended = ended;
+        let elapsed = self.now - sent_at;
+        if pending.ended && pending.attempts.iter().all(Option::is_none) {
             self.nodes[node].pending.remove(&request);
         }
         let report =
@@ -489,7 +492,8 @@
     }
 }
 
-/// Most requests that the rule allows a cold server with this capacity, in requests, in the overload window.
+/// Maximum number of requests that the rule allows a cold server with this capacity, in requests, in the
+/// overload window.
 fn allowed(capacity: f64) -> f64 {
     let root = capacity.sqrt();
     if capacity < 30.0 { capacity + 3.0 * root + 3.0 } else { capacity + 2.0 * root + 2.0 }
--- a/tests/zone_overrides.rs
+++ b/tests/zone_overrides.rs
@@ -56,22 +56,25 @@
     started.handle(Event::ZoneOverrides(vec![zone_override(0, 0, 0.0)]));
     assert_eq!(served(&mut started, 100)[0], 0);
     let mut running: Vec<Node> = (0..20).map(node).collect();
-    let mut left = Vec::new();
+    let mut home_counts = Vec::new();
     for node in &mut running {
         served(node, 20);
         node.handle(Event::ZoneOverrides(vec![zone_override(0, 0, 0.0)]));
-        left.push(served(node, 200)[0]);
+        home_counts.push(served(node, 200)[0]);
     }
-    left.sort_unstable();
-    assert!(left[0] > 40 && left[19] > left[0], "nodes moved at once or in step: {left:?}");
+    home_counts.sort_unstable();
+    assert!(
+        home_counts[0] > 40 && home_counts[19] > home_counts[0],
+        "nodes moved at once or in step: {home_counts:?}"
+    );
 }
 
 #[test]
 fn a_closed_zone_takes_no_overflow_and_a_partial_share_is_kept() {
-    let over = |backend: BackendId| util(if backend.0 < 2 { 0.9 } else { 0.3 });
+    let reports = |backend: BackendId| util(if backend.0 < 2 { 0.9 } else { 0.3 });
     let zones = |node: &mut Node, count| {
         let mut zones = [0; 3];
-        node.serve(count, over).iter().for_each(|to| zones[to.0 as usize / 2] += 1);
+        node.serve(count, reports).iter().for_each(|to| zones[to.0 as usize / 2] += 1);
         zones
     };
     let mut closed = node(1);
@@ -101,8 +104,9 @@
     };
     let one_region = spill(Vec::new());
     assert!(one_region[2] > 10 * one_region[1].max(1), "{one_region:?}");
-    let two = spill(vec![zone_override(0, 1, 1.0), zone_override(1, 1, 1.0), zone_override(2, 2, 1.0)]);
-    assert!(two[1] > 10 * two[2].max(1), "{two:?}");
+    let two_regions =
+        spill(vec![zone_override(0, 1, 1.0), zone_override(1, 1, 1.0), zone_override(2, 2, 1.0)]);
+    assert!(two_regions[1] > 10 * two_regions[2].max(1), "{two_regions:?}");
 }
 
 #[test]
@@ -113,7 +117,7 @@
     actions.extend(node.advance(2 * SECOND));
     assert_eq!(sends(&actions), []);
     let is_rejection =
-        |action: &Action| matches!(action, Action::Reject { request: of, .. } if *of == request);
+        |action: &Action| matches!(action, Action::Reject { request: other, .. } if *other == request);
     assert_eq!(actions.iter().filter(|action| is_rejection(action)).count(), 1, "{actions:?}");
     // An invalid share counts as no override, and a negative one as 0.
     node.handle(Event::ZoneOverrides(vec![
