--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -66,7 +66,7 @@
 fn parse_class(value: &Value) -> Result<(String, ClassSettings), String> {
     let map = value.as_object().ok_or("settings: classes: expected objects")?;
     let fields = Fields { tag: "settings: classes", map };
-    let effect = match fields.string("effect")? {
+    let idempotency = match fields.string("effect")? {
         "repeatable" => Idempotency::Idempotent,
         "once" => Idempotency::NonIdempotent,
         "by_key" => {
@@ -85,7 +85,7 @@
         deadline: fields.unsigned("deadline-ns")?,
         value: fields.number_or("importance", 1.0)?,
         late_value_share: fields.number_or("late-share", 0.0)?,
-        idempotency: effect,
+        idempotency,
     };
     Ok((fields.string("name")?.to_owned(), settings))
 }
@@ -124,7 +124,7 @@
         let fields = Fields { tag: "settings: projects", map };
         Ok::<_, String>((fields.string("name")?.to_owned(), fields.number("quota-rps")?))
     };
-    let (tenant_names, tenants): (Vec<_>, Vec<_>) =
+    let (tenant_names, tenant_quotas): (Vec<_>, Vec<_>) =
         projects.iter().map(tenant).collect::<Result<Vec<_>, _>>()?.into_iter().unzip();
     let limits = fields.object("policy-limits")?;
     let rules = fields.object("rules")?;
@@ -135,7 +135,7 @@
         zone_count: zones.len() as u32,
         node_count: u32::try_from(fields.unsigned_or("n-instances", 1)?).unwrap_or(u32::MAX),
         classes,
-        tenant_quotas: tenants,
+        tenant_quotas,
         over_quota_value: fields.number_or("over-share-worth", 1.0)?,
         discovery: match fields.string("discovery")? {
             "pushed" => DiscoveryMode::Push,
