--- a/wirehost/src/main.rs
+++ b/wirehost/src/main.rs
@@ -304,8 +304,8 @@
     let mut line_number = 0u64;
     loop {
         buffer.clear();
-        let read = input.read_line(&mut buffer).map_err(|e| format!("standard input: {e}"))?;
-        if read == 0 {
+        let bytes_read = input.read_line(&mut buffer).map_err(|e| format!("standard input: {e}"))?;
+        if bytes_read == 0 {
             return Ok(());
         }
         line_number += 1;
@@ -316,8 +316,8 @@
         let line = Line::new(line_number, &value)?;
         if adapter.process_line(&line).map_err(|e| format!("line {line_number}: {e}"))? {
             adapter.reply.push_str("{\"YIELD\":{}}\n");
-            let sent = output.write_all(adapter.reply.as_bytes()).and_then(|()| output.flush());
-            sent.map_err(|e| format!("standard output: {e}"))?;
+            let written = output.write_all(adapter.reply.as_bytes()).and_then(|()| output.flush());
+            written.map_err(|e| format!("standard output: {e}"))?;
             adapter.reply.clear();
         }
     }
--- a/wirehost/src/wire.rs
+++ b/wirehost/src/wire.rs
@@ -11,12 +11,12 @@
 }
 
 impl<'a> Line<'a> {
-    pub fn new(number: u64, value: &'a Value) -> Result<Self, String> {
-        let malformed = || format!("line {number}: not an object with a single key");
+    pub fn new(line_number: u64, value: &'a Value) -> Result<Self, String> {
+        let malformed = || format!("line {line_number}: not an object with a single key");
         let object = value.as_object().filter(|object| object.len() == 1).ok_or_else(malformed)?;
         let (tag, body) = object.iter().next().ok_or_else(malformed)?;
-        let map = body.as_object().ok_or_else(|| format!("line {number}: {tag}: not an object"))?;
-        Ok(Self { line_number: number, fields: Fields { tag, map } })
+        let map = body.as_object().ok_or_else(|| format!("line {line_number}: {tag}: not an object"))?;
+        Ok(Self { line_number, fields: Fields { tag, map } })
     }
 }
 
@@ -41,8 +41,8 @@
         return Ok(LoadReport::default());
     };
     let usage = usage.as_object().ok_or_else(|| fields.invalid("usage"))?;
-    let figure = |name: &str| usage.get(name).and_then(Value::as_f64);
-    Ok(LoadReport { util: figure("load_share"), rate: figure("tps"), in_flight: figure("concurrent") })
+    let number = |name: &str| usage.get(name).and_then(Value::as_f64);
+    Ok(LoadReport { util: number("load_share"), rate: number("tps"), in_flight: number("concurrent") })
 }
 
 /// An entry of a backend list, with names not yet mapped to ids.
