--- a/fleet/src/call.rs
+++ b/fleet/src/call.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
     /// The connection could not be established: the request was not sent.
-    #[error("can't connect: {0}")]
+    #[error("cannot connect: {0}")]
     Connect(std::io::Error),
     /// The connection failed during the request, which may have been processed.
     #[error("HTTP request failed: {0}")]
--- a/fleet/src/file.rs
+++ b/fleet/src/file.rs
@@ -93,7 +93,8 @@
         return Err(fail(None, format!("file has {size} bytes, the limit is {MAX_FILE_BYTES}")));
     }
     let text = std::fs::read_to_string(file).map_err(|error| fail(None, error.to_string()))?;
-    let line_of = |at: usize| text.as_bytes().iter().take(at).filter(|byte| **byte == b'\n').count() + 1;
+    let line_of =
+        |offset: usize| text.as_bytes().iter().take(offset).filter(|byte| **byte == b'\n').count() + 1;
     let parsed: T = toml::from_str(&text)
         .map_err(|error| fail(error.span().map(|span| line_of(span.start)), error.message().to_owned()))?;
     check(&parsed).map_err(|invalid| {
@@ -106,7 +107,7 @@
 /// Returns the byte offset of a key such as `fault[2].zone`, or that of its innermost parent that is present.
 fn offset_of(text: &str, key: &str) -> Option<usize> {
     let table = DeTable::parse(text).ok()?;
-    let mut at = None;
+    let mut offset = None;
     let mut value: Option<&DeValue> = None;
     for part in key.split('.') {
         let (name, index) = match part.split_once('[') {
@@ -116,21 +117,21 @@
         let nested = match value {
             None => table.get_ref(),
             Some(DeValue::Table(nested)) => nested,
-            Some(_) => return at,
+            Some(_) => return offset,
         };
-        let Some((key, found)) = nested.iter().find(|(key, _)| key.get_ref().as_ref() == name) else {
-            return at;
+        let Some((key, nested_value)) = nested.iter().find(|(key, _)| key.get_ref().as_ref() == name) else {
+            return offset;
         };
-        at = Some(key.span().start);
-        value = Some(found.get_ref());
+        offset = Some(key.span().start);
+        value = Some(nested_value.get_ref());
         if let Some(index) = index {
-            let Some(DeValue::Array(items)) = value else { return at };
-            let Some(item) = items.get(index) else { return at };
-            at = Some(item.span().start);
+            let Some(DeValue::Array(items)) = value else { return offset };
+            let Some(item) = items.get(index) else { return offset };
+            offset = Some(item.span().start);
             value = Some(item.get_ref());
         }
     }
-    at
+    offset
 }
 
 impl Fleet {
@@ -162,7 +163,8 @@
         if addresses.is_empty() || addresses.len() > MAX_REPLICAS {
             return invalid_addresses(format!("must have 1 to {MAX_REPLICAS} addresses"));
         }
-        let duplicate = addresses.iter().enumerate().find(|(at, address)| addresses[..*at].contains(address));
+        let duplicate =
+            addresses.iter().enumerate().find(|(index, address)| addresses[..*index].contains(address));
         duplicate.map_or(Ok(()), |(_, address)| invalid_addresses(format!("duplicate address {address}")))
     }
 }
--- a/fleet/src/watch.rs
+++ b/fleet/src/watch.rs
@@ -85,7 +85,7 @@
     Full,
     /// They are merged into the list: instances that are missing stay.
     Changes,
-    /// They are discarded: the response is older than the client's list, or can't be applied to it.
+    /// They are discarded: the response is older than the client's list, or cannot be applied to it.
     Ignore,
 }
 
--- a/registry/src/client.rs
+++ b/registry/src/client.rs
@@ -29,7 +29,7 @@
     /// No replica could process the call.
     #[error("no replica could process the call: {0}")]
     Unavailable(String),
-    /// A response can't be decoded.
+    /// A response cannot be decoded.
     #[error("malformed response from {address}: {source}")]
     Malformed {
         /// The address of the replica.
--- a/registry/src/http.rs
+++ b/registry/src/http.rs
@@ -255,7 +255,7 @@
     }
     if watch.from.is_some_and(|from| from == replica.rev()) && !watch.hold.is_zero() {
         let _guard = WatchGuard::acquire(&replica)?;
-        // A timeout is answered with an empty update.
+        // After a timeout the response is an empty update.
         let _ = timeout_at(started_at + watch.hold, revisions.wait_for(|rev| Some(*rev) != watch.from)).await;
     }
     replica.metrics.lists_answered.inc();
--- a/registry/src/list.rs
+++ b/registry/src/list.rs
@@ -177,7 +177,7 @@
 /// The instance list.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct List {
-    /// Increases with each restore. Revisions of different incarnations can't be compared.
+    /// Increases with each restore. Revisions of different incarnations cannot be compared.
     incarnation: u64,
     rev: Rev,
     lines: BTreeMap<String, Line>,
--- a/registry/src/replica/membership.rs
+++ b/registry/src/replica/membership.rs
@@ -76,7 +76,7 @@
     pub(super) async fn remove_replica(&self, peer: SocketAddr) -> Result<Value, ApiError> {
         let id = self.replica_at(peer)?;
         if self.voters().len() <= 1 {
-            return Err(ApiError::new(409, "the last replica can't be removed"));
+            return Err(ApiError::new(409, "the last replica cannot be removed"));
         }
         tracing::info!(replica = id, %peer, "removing replica");
         self.change_membership(ChangeMembers::RemoveVoters([id].into())).await
@@ -88,7 +88,8 @@
         if self.voters().contains(&id) {
             return Ok(json!({"replicas": members.len()}));
         }
-        let Some((&lost, _)) = members.iter().find(|(known, at)| **known != id && at.peer == place.peer)
+        let Some((&lost, _)) =
+            members.iter().find(|(member, member_place)| **member != id && member_place.peer == place.peer)
         else {
             return Err(ApiError::new(
                 403,
@@ -136,18 +137,18 @@
     /// Otherwise, once all configured replicas are reachable, the one with the lowest peer address initializes the
     /// registry.
     pub(super) async fn bootstrap(self: Arc<Self>) {
-        let own = self.settings.place();
+        let own_place = self.settings.place();
         let peers: Vec<SocketAddr> =
-            self.settings.replicas.iter().copied().filter(|peer| *peer != own.peer).collect();
+            self.settings.replicas.iter().copied().filter(|peer| *peer != own_place.peer).collect();
         while !self.raft.is_initialized().await.unwrap_or(true) {
-            let mut initial_members = BTreeMap::from([(self.id, own)]);
+            let mut initial_members = BTreeMap::from([(self.id, own_place)]);
             for peer in &peers {
                 match self
                     .call_peer::<ReplicaIdentity>(*peer, None, IDENTITY_PATH, &json!({}), CONFIRM_TIMEOUT)
                     .await
                 {
                     Ok(identity) if identity.begun => {
-                        let join = Operation::Join { id: self.id, place: own };
+                        let join = Operation::Join { id: self.id, place: own_place };
                         let result: Result<Value, ApiError> =
                             self.call_peer(*peer, None, "/peer/join", &join, CATCH_UP_TIMEOUT * 2).await;
                         if let Err(error) = result {
@@ -159,7 +160,7 @@
                 }
             }
             let all_present = initial_members.len() == peers.len() + 1;
-            let is_initiator = initial_members.values().all(|place| own.peer <= place.peer);
+            let is_initiator = initial_members.values().all(|place| own_place.peer <= place.peer);
             if all_present && is_initiator {
                 tracing::info!(replicas = initial_members.len(), "initializing a new registry");
                 if let Err(error) = self.raft.initialize(initial_members).await {
--- a/registry/src/replica/mod.rs
+++ b/registry/src/replica/mod.rs
@@ -149,7 +149,7 @@
 type PendingRenewal = (Renewal, oneshot::Sender<Result<RenewalResponse, ApiError>>);
 type PendingWrite = (Command, oneshot::Sender<Result<Applied, ApiError>>);
 
-/// Why a replica can't start.
+/// Why a replica cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// The store failed to open.
--- a/registry/src/replica/status.rs
+++ b/registry/src/replica/status.rs
@@ -37,9 +37,15 @@
             .members()
             .into_iter()
             .map(|(id, place)| {
-                let behind = raft_metrics.replication.as_ref().and_then(|all| all.get(&id)).map(|at| {
-                    raft_metrics.last_log_index.unwrap_or(0).saturating_sub(at.map_or(0, |at| at.index))
-                });
+                let behind =
+                    raft_metrics.replication.as_ref().and_then(|replication| replication.get(&id)).map(
+                        |matched| {
+                            raft_metrics
+                                .last_log_index
+                                .unwrap_or(0)
+                                .saturating_sub(matched.map_or(0, |log_id| log_id.index))
+                        },
+                    );
                 json!({"id": id, "peer": place.peer, "client": place.client, "votes": voters.contains(&id),
                     "leads": raft_metrics.current_leader == Some(id), "entries_behind": behind})
             })
--- a/registry/src/response_cache.rs
+++ b/registry/src/response_cache.rs
@@ -48,7 +48,7 @@
         };
         let listing = Listing::new(&update, list.incarnation());
         drop(state);
-        // Serialization can't fail: the fields are plain values.
+        // Serialization cannot fail: the fields are plain values.
         let response = Bytes::from(serde_json::to_vec(&listing).unwrap_or_default());
         if cached.responses.len() < MAX_CACHED_RESPONSES {
             cached.responses.insert(from, response.clone());
--- a/registry/src/serve.rs
+++ b/registry/src/serve.rs
@@ -27,7 +27,7 @@
 use crate::settings::Settings;
 
 /// Size of the accept queue of a listening socket.
-const LISTEN_BACKLOG: u32 = 4096;
+const ACCEPT_BACKLOG: u32 = 4096;
 /// Time limit for the head of the next request on a connection, which includes idle time.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(75);
 /// Time limit for a blocked write: a connection whose peer does not read is closed.
@@ -43,7 +43,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
     /// A listen address could not be bound.
-    #[error("can't listen at {address}: {source}")]
+    #[error("cannot listen at {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
@@ -78,7 +78,7 @@
         // Allows a restart while connections of the previous process are in TIME_WAIT.
         socket.set_reuseaddr(true)?;
         socket.bind(address)?;
-        socket.listen(LISTEN_BACKLOG)
+        socket.listen(ACCEPT_BACKLOG)
     };
     listen().map_err(|source| ServeError::Listen { address, source })
 }
--- a/registry/src/settings.rs
+++ b/registry/src/settings.rs
@@ -112,9 +112,10 @@
             "replicas",
             format!("must include this replica's own peer address, {}", place.peer),
         )?;
-        let duplicate = replicas.iter().enumerate().any(|(at, address)| replicas[..at].contains(address));
+        let duplicate =
+            replicas.iter().enumerate().any(|(index, address)| replicas[..index].contains(address));
         require(!duplicate, "replicas", "contains a duplicate address".to_owned())?;
-        let is_reachable = |at: SocketAddr| !at.ip().is_unspecified();
+        let is_reachable = |address: SocketAddr| !address.ip().is_unspecified();
         require(
             is_reachable(place.client),
             "address",
--- a/registry/src/state_machine.rs
+++ b/registry/src/state_machine.rs
@@ -98,7 +98,7 @@
                     EntryPayload::Normal(commands) => {
                         let apply = |command| match state.list.apply(command) {
                             Ok(_) => Applied::Done(state.list.rev()),
-                            Err(refused) => refused.into(),
+                            Err(error) => error.into(),
                         };
                         commands.iter().map(apply).collect()
                     }
--- a/registry/src/store.rs
+++ b/registry/src/store.rs
@@ -38,7 +38,7 @@
     /// The database reported an error.
     #[error("{0}")]
     Database(#[from] redb::Error),
-    /// A stored value can't be decoded, or a value can't be encoded.
+    /// A stored value cannot be decoded, or a value cannot be encoded.
     #[error("malformed value in the store: {0}")]
     Malformed(#[from] serde_json::Error),
     /// The store belongs to another fleet.
@@ -51,7 +51,7 @@
         /// The fleet of this replica.
         expected: String,
     },
-    /// The directory can't be created.
+    /// The directory cannot be created.
     #[error("{directory}: {source}")]
     Directory {
         /// The directory.
@@ -210,16 +210,16 @@
     max_bytes: usize,
 ) -> Result<Vec<openraft::Entry<Types>>, StoreError> {
     let table = database.begin_read()?.open_table(LOG)?;
-    let (mut found, mut bytes) = (Vec::new(), 0);
+    let (mut entries, mut bytes) = (Vec::new(), 0);
     for item in table.range(range)? {
         let (_, value) = item?;
         bytes += value.value().len();
-        if bytes > max_bytes && !found.is_empty() {
+        if bytes > max_bytes && !entries.is_empty() {
             break;
         }
-        found.push(serde_json::from_slice(value.value())?);
+        entries.push(serde_json::from_slice(value.value())?);
     }
-    Ok(found)
+    Ok(entries)
 }
 
 impl RaftLogReader<Types> for Store {
--- a/registry/tests/leases.rs
+++ b/registry/tests/leases.rs
@@ -96,9 +96,9 @@
     let mut list = list(&[("a", 10), ("b", 10)]);
     let mut leases = Leases::new(policy(), &list, 0);
     let commands = simulate(&mut list, &mut leases, 0, 80, |uid| !uid.starts_with('a'));
-    let left: Vec<u64> =
+    let removal_times: Vec<u64> =
         commands.iter().filter(|(_, c)| matches!(c, Command::Leave { .. })).map(|(at, _)| *at).collect();
-    assert_eq!(left, [66; 10], "suspects from 6 s on, held for 60 s");
+    assert_eq!(removal_times, [66; 10], "suspects from 6 s on, held for 60 s");
     assert!(names(&list).iter().all(|uid| uid.starts_with('b')));
 }
 
@@ -112,8 +112,8 @@
     for second in 0..26 {
         commands.extend(simulate(&mut list, &mut leases, second, second + 1, |uid| fails_at(uid) > second));
     }
-    let left = commands.iter().filter(|(_, command)| matches!(command, Command::Leave { .. })).count();
-    assert!((5..=7).contains(&left), "{left} of 20 were removed: {commands:?}");
+    let removed = commands.iter().filter(|(_, command)| matches!(command, Command::Leave { .. })).count();
+    assert!((5..=7).contains(&removed), "{removed} of 20 were removed: {commands:?}");
     assert!(list.lines().filter(|line| line.suspect).count() >= 10);
 }
 
@@ -144,7 +144,7 @@
 
 #[test]
 fn an_operator_can_declare_suspects_alive_or_gone() {
-    for (alive, left) in [(true, 10), (false, 0)] {
+    for (alive, remaining) in [(true, 10), (false, 0)] {
         let mut list = list(&[("a", 10)]);
         let mut leases = Leases::new(policy(), &list, 0);
         simulate(&mut list, &mut leases, 0, 8, |_| false);
@@ -153,7 +153,7 @@
             list.apply(&command).expect("command is applied");
         }
         leases.sync(&list, 8 * SECOND);
-        assert_eq!(names(&list).len(), left);
+        assert_eq!(names(&list).len(), remaining);
         assert!(list.lines().all(|line| !line.suspect));
         assert!(
             leases.expire(&list, 9 * SECOND).is_empty(),
