--- a/node/src/discovery/mod.rs
+++ b/node/src/discovery/mod.rs
@@ -39,7 +39,7 @@
 }
 
 impl BackendList {
-    /// Version of the list.
+    /// Revision of the list.
     pub fn rev(&self) -> u64 {
         self.rev
     }
@@ -208,7 +208,7 @@
         self.abort_polls();
         self.idle = Some(connection);
         if !self.poller.on_response(self.started_at.elapsed(), poll, list.rev, list.all) {
-            tracing::warn!(rev = list.rev, "list version went backwards; fetching the full list");
+            tracing::warn!(rev = list.rev, "list revision went backwards; fetching the full list");
             return;
         }
         tracing::debug!(
@@ -256,8 +256,8 @@
 }
 
 /// Resolves when the watched value has changed; never if its sender is gone.
-pub async fn changed<T>(addresses: &mut watch::Receiver<T>) {
-    if addresses.changed().await.is_err() {
+pub async fn changed<T>(receiver: &mut watch::Receiver<T>) {
+    if receiver.changed().await.is_err() {
         std::future::pending().await
     }
 }
--- a/node/src/discovery/poller.rs
+++ b/node/src/discovery/poller.rs
@@ -64,7 +64,7 @@
 pub struct PollRequest {
     /// Identifies the poll when it ends.
     pub id: u64,
-    /// Version to get changes since; none for the full list.
+    /// Revision to get changes since; none for the full list.
     pub from: Option<u64>,
     /// How long the server may hold the response until there is a change.
     pub hold: Duration,
@@ -81,14 +81,14 @@
     next_id: u64,
     due: Option<Duration>,
     failures: u32,
-    /// Whether a poll has failed since a long poll was last answered.
+    /// Whether a poll has failed since the last response to a long poll.
     failed_since_long_poll: bool,
     /// Whether the last response was to a poll without a hold time, and so has the current list.
     is_current: bool,
 }
 
 impl Poller {
-    /// Creates a poller that has the list of version `rev`. The first poll is due at once.
+    /// Creates a poller that has the list of revision `rev`. The first poll is due at once.
     pub fn new(timeouts: Timeouts, rev: Option<u64>) -> Self {
         Self {
             timeouts,
@@ -117,7 +117,7 @@
         // over it has no hold time. If the agent closes every connection, such a poll is followed by one with
         // a hold time.
         let reconnecting = max_in_flight > 1 && !connected && !self.is_current;
-        // After a failure or beside an overdue poll a response is wanted at once.
+        // After a failure or beside an overdue poll the response must not be held.
         let may_hold = from.is_some() && self.failures == 0 && self.in_flight.is_empty() && !reconnecting;
         let hold = match (may_hold, self.failed_since_long_poll) {
             (false, _) => Duration::ZERO,
@@ -133,8 +133,8 @@
         Some(PollRequest { id, from, hold, timeout })
     }
 
-    /// Handles a response with this version, a full list or changes. The caller drops all other polls in
-    /// flight. Returns whether the list can be applied: changes up to an older version come from a restarted
+    /// Handles a response with this revision, a full list or changes. The caller drops all other polls in
+    /// flight. Returns whether the list can be applied: changes up to an older revision come from a restarted
     /// server, so the full list is fetched next.
     pub fn on_response(&mut self, now: Duration, id: u64, rev: u64, full: bool) -> bool {
         let is_long_poll = self.in_flight.contains(&(id, true));
@@ -149,10 +149,10 @@
     /// Handles a poll that failed or timed out.
     pub fn on_failure(&mut self, now: Duration, id: u64) {
         self.in_flight.retain(|poll| poll.0 != id);
-        let at = now + backed_off(self.timeouts.backoff, self.failures);
+        let retry_at = now + backed_off(self.timeouts.backoff, self.failures);
         self.failures = self.failures.saturating_add(1);
         (self.failed_since_long_poll, self.is_current) = (true, false);
-        self.due = Some(self.due.map_or(at, |due| due.min(at)));
+        self.due = Some(self.due.map_or(retry_at, |due| due.min(retry_at)));
     }
 
     /// Handles the balancer's request for a poll, unless one is already in flight.
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Handles a new address of discovery. Its versions may differ, so the full list is fetched. The caller
+    /// Handles a new address of discovery. Its revisions may differ, so the full list is fetched. The caller
     /// drops all polls in flight.
     pub fn address_changed(&mut self, now: Duration) {
         *self = Self { due: Some(now), next_id: self.next_id, ..Self::new(self.timeouts, None) };
--- a/node/src/discovery/poller/tests.rs
+++ b/node/src/discovery/poller/tests.rs
@@ -14,7 +14,7 @@
 enum ServerState {
     Available,
     Refusing,
-    /// Polls get no response. Those received meanwhile are answered after the outage if `queues`, else never.
+    /// Polls get no response. Those received meanwhile get one after the outage if `queues`, else never.
     Hanging {
         queues: bool,
     },
@@ -25,7 +25,7 @@
     started_at: Duration,
     /// When its connection is established.
     connected_at: Duration,
-    /// Since when it will never be answered.
+    /// Since when it will never get a response.
     hangs_since: Option<Duration>,
 }
 
@@ -58,7 +58,7 @@
     let mut poller = Poller::new(timeouts, Some(0));
     let mut polls: Vec<SimulatedPoll> = Vec::new();
     let (mut connected, mut balancer_request, mut failures, mut slow_connect) = (false, NEVER, 0u32, false);
-    // Whether a poll has failed since a long poll was last answered.
+    // Whether a poll has failed since the last response to a long poll.
     let mut failed = false;
     let mut now = Duration::ZERO;
     while now < SIMULATED_TIME {
@@ -94,9 +94,10 @@
             // During an outage nothing counts as known: an agent's list counts when the outage ends, a
             // service's 6 s later.
             let outages = states.windows(2).filter(|pair| pair[0].1 != ServerState::Available);
-            for (from, end) in outages.map(|pair| (pair[0].0, pair[1].0)) {
-                if from <= known_at[change] && end > *at {
-                    known_at[change] = known_at[change].max(if pushed { end } else { end + ms(6000) });
+            for (from, outage_end) in outages.map(|pair| (pair[0].0, pair[1].0)) {
+                if from <= known_at[change] && outage_end > *at {
+                    known_at[change] =
+                        known_at[change].max(if pushed { outage_end } else { outage_end + ms(6000) });
                 }
             }
         }
@@ -245,22 +246,22 @@
     assert!(now >= 5 * Timeouts::PUSHED.hold.0, "10 polls in {now:?}");
 }
 
-/// A restarted server counts versions from the start, and its changes do not apply to the list that the node
+/// A restarted server counts revisions from the start, and its changes do not apply to the list that the node
 /// has.
 #[test]
-fn the_full_list_is_fetched_after_the_version_goes_backwards() {
+fn the_full_list_is_fetched_after_the_revision_goes_backwards() {
     for timeouts in [Timeouts::PUSHED, Timeouts::ON_REQUEST] {
         let mut poller = Poller::new(timeouts, Some(41));
         let poll = poller.next(ms(0), false, true).expect("due at once");
         assert!(!poller.on_response(ms(10), poll.id, 3, false));
         let poll = poller.next(ms(10), false, true).expect("due at once");
         assert_eq!((poll.from, poll.hold), (None, ms(0)));
-        assert!(poller.on_response(ms(20), poll.id, 3, true), "a full list applies at any version");
+        assert!(poller.on_response(ms(20), poll.id, 3, true), "a full list applies at any revision");
         assert_eq!(poller.next(ms(20), false, true).and_then(|poll| poll.from), Some(3));
     }
 }
 
-/// Until a long poll has been answered again, one that hangs must leave time for another poll within the 6 s.
+/// Until a long poll gets a response again, one that hangs must leave time for another poll within the 6 s.
 #[test]
 fn the_first_long_poll_on_request_after_a_failure_is_short() {
     let Timeouts { hold, backoff, .. } = Timeouts::ON_REQUEST;
--- a/node/src/driver/backends.rs
+++ b/node/src/driver/backends.rs
@@ -43,7 +43,7 @@
     /// Backends removed within [`ID_RETENTION_NS`].
     removed: HashMap<String, RemovedBackend>,
     next_id: u32,
-    /// When discovery last answered; none before the first list.
+    /// When discovery last responded; none before the first list.
     last_response: Option<Nanos>,
 }
 
@@ -80,7 +80,7 @@
         ListChange { members, close_idle, removed }
     }
 
-    /// Records that discovery has answered, with changes or without.
+    /// Records that discovery has responded, with changes or without.
     pub fn discovery_responded(&mut self, now: Nanos) {
         self.last_response = Some(now);
     }
--- a/node/src/driver/mod.rs
+++ b/node/src/driver/mod.rs
@@ -184,7 +184,7 @@
         self.with_driver(|driver, deferred| driver.update_backends(scope, list, deferred));
     }
 
-    /// Records that discovery has answered without changes.
+    /// Records that discovery has responded without changes.
     pub fn list_unchanged(&self) {
         let mut driver = self.driver.borrow_mut();
         let now = driver.clock.now();
--- a/node/src/driver/tests.rs
+++ b/node/src/driver/tests.rs
@@ -152,7 +152,7 @@
 /// A connect can outlast the grace period of a draining backend, or the backend's removal.
 #[test]
 fn nothing_is_written_to_a_backend_past_its_drain_grace() {
-    for (grace, stage, may) in
+    for (grace, stage, expected) in
         [(60 * SECOND, Stage::Draining, true), (0, Stage::Draining, false), (60 * SECOND, Stage::Gone, false)]
     {
         let (node, transport) = node(grace);
@@ -160,7 +160,7 @@
         let _pending = node.submit(client_request(SECOND));
         let attempt = transport.attempts.borrow_mut().pop().expect("an attempt");
         node.update_backends(ListScope::Changes, vec![backend_entry("s", stage)]);
-        assert_eq!(node.may_send(attempt.id), may, "{grace} {stage:?}");
+        assert_eq!(node.may_send(attempt.id), expected, "{grace} {stage:?}");
         assert_eq!(
             *transport.close_idle.borrow(),
             [attempt.backend; 2][..transport.close_idle.borrow().len()]
@@ -217,8 +217,8 @@
     (member.backend, member.online_since.expect("a start"))
 }
 
-/// Guards against clock skew: with its clock an hour ahead a node took a new backend for warm, an hour behind
-/// it kept one cold for an hour.
+/// Guards against clock skew: a node whose clock is ahead would treat a new backend as warm, one whose clock
+/// is behind would keep it cold for too long.
 #[test]
 fn the_start_time_of_a_new_backend_is_bounded_by_when_it_was_listed() {
     let (node, _transport) = node(SECOND);
@@ -256,7 +256,7 @@
     assert_ne!(online_since(&node, "s", boot_ms + 1).0, before, "restarted");
 }
 
-/// Nodes that started together and whose first call failed all called again in the same millisecond.
+/// Guards against nodes that started together retrying a failed first call all at once.
 #[test]
 fn a_failed_call_is_not_retried_for_a_request_made_before_it() {
     let (node, _transport) = node_with(SECOND, "on_request");
--- a/node/src/driver/types.rs
+++ b/node/src/driver/types.rs
@@ -119,12 +119,12 @@
 /// State of the backend list that is watched at the fleet's registry.
 #[derive(Clone, Copy, Debug)]
 pub struct ListState {
-    /// Version of the list.
+    /// Revision of the list.
     pub rev: Option<u64>,
     /// When the list was last confirmed to be current; none if it never was.
     pub as_of: Option<Instant>,
     /// The replica in use.
     pub replica: SocketAddr,
-    /// When the registry became unreachable; none while a replica answers.
+    /// When the registry became unreachable; none while a replica responds.
     pub unreachable_since: Option<Instant>,
 }
--- a/node/src/registry.rs
+++ b/node/src/registry.rs
@@ -1,5 +1,5 @@
-//! Follows the backend list of the fleet's registry with long polls. [`WatchClient`] decides which replica to
-//! request for what and how to apply its response; this file has the sockets and the clock.
+//! Follows the backend list of the fleet's registry with long polls. [`WatchClient`] decides which replica
+//! to call, what to request and how to apply the response; this file has the sockets and the clock.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -43,7 +43,7 @@
     watch_client: WatchClient,
     rng: Xoshiro256PlusPlus,
     started_at: Instant,
-    /// While no replica answers: since when, and when this was last logged.
+    /// While no replica responds: since when, and when this was last logged.
     outage: Option<(Duration, Duration)>,
 }
 
@@ -73,9 +73,9 @@
             if self.node.take_fetch_request() {
                 self.watch_client.request_full_list();
             }
-            let (at, request) = self.watch_client.next_request(self.started_at.elapsed());
+            let (due_at, request) = self.watch_client.next_request(self.started_at.elapsed());
             let fetch = async {
-                sleep_until(self.started_at + at).await;
+                sleep_until(self.started_at + due_at).await;
                 let sent_at = self.started_at.elapsed();
                 (sent_at, fetch_list(&mut self.clients[request.replica], &request).await)
             };
@@ -156,7 +156,7 @@
         client.call(&Call::get(request.path_and_query(), request.hold + HOLD_MARGIN, MAX_LIST_BYTES)).await?;
     if response.status != StatusCode::OK {
         let body = String::from_utf8_lossy(&response.body[..response.body.len().min(200)]).into_owned();
-        let retry_after = response.header(RETRY_AFTER.as_str()).and_then(|text| text.parse::<f64>().ok());
+        let retry_after = response.header(RETRY_AFTER.as_str()).and_then(|value| value.parse::<f64>().ok());
         let retry_after = retry_after.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
         return Err(FetchError::Status { status: response.status, body, retry_after });
     }
