--- a/node/src/log/tests.rs
+++ b/node/src/log/tests.rs
@@ -67,8 +67,8 @@
                 std::hint::black_box(n);
             }
             let empty = started_at.elapsed();
-            let each = (filtered.as_secs_f64() - empty.as_secs_f64()) * 1e9 / f64::from(EVENTS);
-            println!("{each:.2} ns per filtered event, over {EVENTS} events");
+            let ns_per_event = (filtered.as_secs_f64() - empty.as_secs_f64()) * 1e9 / f64::from(EVENTS);
+            println!("{ns_per_event:.2} ns per filtered event, over {EVENTS} events");
         }
     });
 }
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -110,11 +110,11 @@
 
 fn read_config() -> Result<Config, StartError> {
     let path = std::env::var("EDGE_CONFIG").map_err(|_| StartError::NoConfig)?;
-    let text = match std::fs::read(&path) {
-        Ok(text) => text,
+    let bytes = match std::fs::read(&path) {
+        Ok(bytes) => bytes,
         Err(source) => return Err(StartError::ReadConfig { path, source }),
     };
-    serde_json::from_slice(&text).map_err(|source| StartError::ParseConfig { path, source })
+    serde_json::from_slice(&bytes).map_err(|source| StartError::ParseConfig { path, source })
 }
 
 fn read_fleet() -> Result<Option<Fleet>, StartError> {
--- a/node/src/server/connection.rs
+++ b/node/src/server/connection.rs
@@ -1,5 +1,5 @@
 //! One client's connection from accept to close: runs the HTTP parser, enforces timeouts, notices a client that has
-//! closed its connection, and takes part in a graceful shutdown. Requests are answered by `handler`.
+//! closed its connection, and takes part in a graceful shutdown. Requests are handled by `handler`.
 
 use std::cell::Cell;
 use std::future::poll_fn;
--- a/node/src/server/handler.rs
+++ b/node/src/server/handler.rs
@@ -247,8 +247,8 @@
             let mut response = plain_response(StatusCode::SERVICE_UNAVAILABLE, "rejected; safe to retry");
             if retry_after > 0 {
                 // Rounded up, so that the client does not retry too early.
-                let text = format!("{:.3}", retry_after.div_ceil(1_000_000) as f64 / 1000.0);
-                let value = HeaderValue::from_str(&text);
+                let seconds = format!("{:.3}", retry_after.div_ceil(1_000_000) as f64 / 1000.0);
+                let value = HeaderValue::from_str(&seconds);
                 value.into_iter().for_each(|value| {
                     response.headers_mut().insert(header::RETRY_AFTER, value);
                 });
--- a/node/src/server/mod.rs
+++ b/node/src/server/mod.rs
@@ -1,7 +1,7 @@
 //! The HTTP server for clients.
 //!
 //! This module accepts connections. Its submodules: `connection` serves one connection until it is closed, `handler`
-//! answers one request, `stream` wraps a client's socket, `phase` holds the state of a graceful shutdown.
+//! handles one request, `stream` wraps a client's socket, `phase` holds the state of a graceful shutdown.
 
 mod connection;
 mod handler;
--- a/node/src/server/tests.rs
+++ b/node/src/server/tests.rs
@@ -11,7 +11,7 @@
 const MS: Nanos = 1_000_000;
 
 /// Writes the texts to a connection, one second apart, and returns what was read until the node closed it, with the time
-/// that took on the paused clock. The node has no backends, and rejects every request.
+/// that elapsed on the paused clock. The node has no backends, and rejects every request.
 async fn exchange_until_closed(slots_scarce: bool, texts: &[&str]) -> (String, Duration) {
     let (phase, _) = watch::channel(ShutdownPhase::Serving);
     exchange_in_phase(&phase, slots_scarce, texts, Duration::from_secs(1)).await
@@ -77,18 +77,18 @@
 #[tokio::test(start_paused = true)]
 async fn idle_connections_are_closed_promptly_during_shutdown() {
     let (phase, _) = watch::channel(ShutdownPhase::Draining);
-    let (received, took) = tokio::select! {
+    let (received, elapsed) = tokio::select! {
         result = exchange_in_phase(&phase, false, &[], Duration::ZERO) => result,
         () = start_closing_after(&phase, Duration::from_millis(100)) => unreachable!("never resolves"),
     };
     assert_eq!(received, "");
-    assert!(took <= Duration::from_millis(300), "opened during the shutdown: {took:?}");
+    assert!(elapsed <= Duration::from_millis(300), "opened during the shutdown: {elapsed:?}");
     let (phase, _) = watch::channel(ShutdownPhase::Serving);
-    let (_, took) = tokio::select! {
+    let (_, elapsed) = tokio::select! {
         result = exchange_in_phase(&phase, false, &[API_REQUEST], Duration::ZERO) => result,
         () = start_closing_after(&phase, Duration::from_millis(100)) => unreachable!("never resolves"),
     };
-    assert!(took <= Duration::from_millis(110), "opened before the shutdown: {took:?}");
+    assert!(elapsed <= Duration::from_millis(110), "opened before the shutdown: {elapsed:?}");
 }
 
 /// Guards against a request that arrives late in a shutdown and is still pending when the process is killed.
@@ -108,12 +108,16 @@
         (received, Instant::now())
     };
     let exchange = async { tokio::join!(client, serve(stream, node.clone(), phases, || false)).0 };
-    let (received, at) = tokio::select! {
+    let (received, ended_at) = tokio::select! {
         received = exchange => received,
         () = node.run_timers() => unreachable!("timers never end"),
     };
     assert!(received.starts_with("HTTP/1.1 502 "), "{received}");
-    assert!(at <= response_deadline + Duration::from_millis(30), "{:?} late", at - response_deadline);
+    assert!(
+        ended_at <= response_deadline + Duration::from_millis(30),
+        "{:?} late",
+        ended_at - response_deadline
+    );
 }
 
 /// Guards against dropping a connection because setting `TCP_NODELAY` failed.
@@ -142,12 +146,12 @@
 /// Guards against idle connections that fill the slots and keep other clients out.
 #[tokio::test(start_paused = true)]
 async fn an_idle_connection_is_closed_after_the_idle_timeout() {
-    let (received, took) = exchange_until_closed(false, &[API_REQUEST]).await;
+    let (received, elapsed) = exchange_until_closed(false, &[API_REQUEST]).await;
     assert!(received.starts_with("HTTP/1.1 503 "), "{received}");
-    assert!((Duration::from_secs(2)..CLOSE_DEADLINE).contains(&took), "{took:?}");
-    let (received, took) = exchange_until_closed(false, &[]).await;
+    assert!((Duration::from_secs(2)..CLOSE_DEADLINE).contains(&elapsed), "{elapsed:?}");
+    let (received, elapsed) = exchange_until_closed(false, &[]).await;
     assert_eq!(received, "");
-    assert!((Duration::from_secs(2)..CLOSE_DEADLINE).contains(&took), "{took:?}");
+    assert!((Duration::from_secs(2)..CLOSE_DEADLINE).contains(&elapsed), "{elapsed:?}");
 }
 
 /// Guards against health checks that fill the slots: each opens a connection of its own.
@@ -156,49 +160,49 @@
     for (status, text) in
         [("503", HEALTH_CHECK), ("404", "GET /other HTTP/1.1\r\n\r\n"), ("400", "POST /api HTTP/1.1\r\n\r\n")]
     {
-        let (received, took) = exchange_until_closed(false, &[text]).await;
+        let (received, elapsed) = exchange_until_closed(false, &[text]).await;
         assert!(received.starts_with(&format!("HTTP/1.1 {status} ")), "{received}");
         // The helper waits for one second after the text.
-        assert!(took < Duration::from_millis(1100), "{took:?}");
+        assert!(elapsed < Duration::from_millis(1100), "{elapsed:?}");
     }
 }
 
 #[tokio::test(start_paused = true)]
 async fn an_incomplete_request_times_out() {
     let head = "POST /api HTTP/1.1\r\nX-Call-Id: 1\r\nX-Call-Class: pay\r\nX-Budget-Ms: 900\r\n";
-    let (_, took) = exchange_until_closed(false, &["POST /api", " HTTP/1.1"]).await;
-    assert!(took < CLOSE_DEADLINE, "{took:?}");
-    let (received, took) = exchange_until_closed(false, &[head, "Content-Length: 9\r\n\r\nhalf"]).await;
+    let (_, elapsed) = exchange_until_closed(false, &["POST /api", " HTTP/1.1"]).await;
+    assert!(elapsed < CLOSE_DEADLINE, "{elapsed:?}");
+    let (received, elapsed) = exchange_until_closed(false, &[head, "Content-Length: 9\r\n\r\nhalf"]).await;
     assert!(received.starts_with("HTTP/1.1 408 "), "{received}");
-    assert!(took < CLOSE_DEADLINE, "{took:?}");
+    assert!(elapsed < CLOSE_DEADLINE, "{elapsed:?}");
 }
 
 /// Guards against connections without a request that keep clients waiting in the backlog past their deadline.
 #[tokio::test(start_paused = true)]
 async fn a_connection_without_a_request_is_shed_while_slots_are_scarce() {
-    let (received, took) = exchange_until_closed(true, &[]).await;
+    let (received, elapsed) = exchange_until_closed(true, &[]).await;
     assert_eq!(received, "");
-    assert!(took < Duration::from_millis(500), "{took:?}");
-    let (received, took) = exchange_until_closed(true, &[API_REQUEST]).await;
+    assert!(elapsed < Duration::from_millis(500), "{elapsed:?}");
+    let (received, elapsed) = exchange_until_closed(true, &[API_REQUEST]).await;
     assert!(received.starts_with("HTTP/1.1 503 "), "{received}");
-    assert!(took >= Duration::from_secs(2), "a connection that has sent a request is kept: {took:?}");
+    assert!(elapsed >= Duration::from_secs(2), "a connection that has sent a request is kept: {elapsed:?}");
 }
 
-/// Guards against holding a connection for ever whose response can't be written.
+/// Guards against holding a connection for ever whose response cannot be written.
 #[tokio::test(start_paused = true)]
 async fn a_client_that_does_not_read_its_response_is_closed() {
     let (mut peer, stream) = tokio::io::duplex(64);
     let (_phase, phases) = watch::channel(ShutdownPhase::Serving);
     let (node, _) = driver::tests::node(0);
     let exchange = serve(stream, node, phases, || false);
-    let ask = async {
+    let send_request = async {
         peer.write_all(HEALTH_CHECK.as_bytes()).await.expect("write succeeds");
         std::future::pending().await
     };
     tokio::select! {
         biased;
         () = exchange => {}
-        () = ask => {}
+        () = send_request => {}
         () = sleep(Duration::from_secs(60)) => panic!("the connection is still open"),
     }
 }
@@ -307,9 +311,9 @@
     use std::io::{Read, Write};
     let backend = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let endpoint = backend.local_addr().expect("its address");
-    let links =
+    let connection_settings =
         brookfield_settings::ConnectionSettings { idle_timeout: 60 * SECOND, connect_timeout: SECOND };
-    let upstream = crate::upstream::Upstream::new(links, driver::Clock::start(), 8);
+    let upstream = crate::upstream::Upstream::new(connection_settings, driver::Clock::start(), 8);
     let transport = Rc::new(driver::tests::HookedUpstream { upstream, before_attempt: Default::default() });
     let node = driver::tests::node_with_transport(SECOND, "pushed", transport.clone());
     node.update_backends(
@@ -317,7 +321,7 @@
         vec![driver::BackendEntry { endpoint, ..backend_entry("s", Stage::InService) }],
     );
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
-    let at = listener.local_addr().expect("its address");
+    let address = listener.local_addr().expect("its address");
     let (_phase, phases) = watch::channel(ShutdownPhase::Serving);
     let received = Rc::new(std::cell::RefCell::new(String::new()));
     let work = async {
@@ -335,15 +339,15 @@
             }
         });
         for (id, waits) in [("warm", true), ("gone", false), ("last", true)] {
-            let mut client = std::net::TcpStream::connect(at).expect("a connection");
+            let mut client = std::net::TcpStream::connect(address).expect("a connection");
             let text = with_budget(API_REQUEST, 3000).replace("Call-Id: 1", &format!("Call-Id: {id}"));
             client.write_all(text.as_bytes()).expect("write succeeds");
             if waits {
                 client.set_nonblocking(true).expect("not blocking");
                 let mut client = TcpStream::from_std(client).expect("in the runtime");
-                let mut answer = [0; 12];
-                client.read_exact(&mut answer).await.expect("a response");
-                assert_eq!(&answer, b"HTTP/1.1 200", "{id}");
+                let mut status_line = [0; 12];
+                client.read_exact(&mut status_line).await.expect("a response");
+                assert_eq!(&status_line, b"HTTP/1.1 200", "{id}");
                 continue;
             }
             let (disconnect_signal, disconnected) = std::sync::mpsc::channel::<()>();
@@ -371,20 +375,20 @@
 async fn a_request_is_not_forwarded_if_its_client_disconnected_before_accept() {
     use std::io::Write;
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
-    let at = listener.local_addr().expect("its address");
+    let address = listener.local_addr().expect("its address");
     let (node, transport) = driver::tests::node(SECOND);
     node.update_backends(ListScope::Full, vec![backend_entry("s", Stage::InService)]);
     let (_phase, phases) = watch::channel(ShutdownPhase::Serving);
-    let ask = |id: &str| {
-        let mut client = std::net::TcpStream::connect(at).expect("a connection");
+    let send_request = |id: &str| {
+        let mut client = std::net::TcpStream::connect(address).expect("a connection");
         let text = with_budget(API_REQUEST, 3000).replace("Call-Id: 1", &format!("Call-Id: {id}"));
         client.write_all(text.as_bytes()).expect("write succeeds");
         client
     };
     for id in ["a", "b", "c"] {
-        drop(ask(id));
+        drop(send_request(id));
     }
-    let last = ask("d");
+    let last = send_request("d");
     let work = async {
         spawn_local(run(listener, node.clone(), 8, phases));
         // Connections are accepted in order of arrival.
@@ -425,8 +429,8 @@
     // A request that stays incomplete is closed when its read timeout expires.
     let began = Instant::now();
     exchange_in_phase(&phase, false, &[API_REQUEST, first], Duration::from_millis(2100)).await;
-    let took = began.elapsed();
-    assert!((Duration::from_millis(4600)..Duration::from_millis(4800)).contains(&took), "{took:?}");
+    let elapsed = began.elapsed();
+    assert!((Duration::from_millis(4600)..Duration::from_millis(4800)).contains(&elapsed), "{elapsed:?}");
 }
 
 /// Guards against a reset: closing a socket with unread input may lose the rest of the response.
--- a/node/src/upstream.rs
+++ b/node/src/upstream.rs
@@ -313,7 +313,7 @@
         let connections = idle.get_mut(&key)?;
         connections.retain(|idle| self.is_usable(idle));
         match connections.iter().rposition(|idle| idle.reusable_at() <= now) {
-            Some(at) => Some(Checkout::Connection(connections.remove(at).connection)),
+            Some(index) => Some(Checkout::Connection(connections.remove(index).connection)),
             None => connections.first().map(|idle| Checkout::ReusableAt(idle.reusable_at())),
         }
     }
@@ -391,8 +391,8 @@
 
 /// Parses the load report of a response. An invalid one is ignored.
 fn load_report(headers: &HeaderMap) -> LoadReport {
-    let text = headers.get("x-load-report").map(HeaderValue::as_bytes).unwrap_or_default();
-    let values: LoadReportHeader = serde_json::from_slice(text).unwrap_or_default();
+    let value = headers.get("x-load-report").map(HeaderValue::as_bytes).unwrap_or_default();
+    let values: LoadReportHeader = serde_json::from_slice(value).unwrap_or_default();
     LoadReport { util: values.util, rate: values.qps, in_flight: values.inflight }
 }
 
--- a/node/src/upstream/tests.rs
+++ b/node/src/upstream/tests.rs
@@ -115,17 +115,18 @@
         };
         tokio::join!(attempt, received)
     };
-    let ((result, took), bytes) = tokio::task::LocalSet::new().run_until(work).await;
+    let ((result, elapsed), bytes) = tokio::task::LocalSet::new().run_until(work).await;
     assert_eq!((result.outcome, bytes), (Outcome::Moot, 0));
     // The kernel retransmits after a second; the attempt must not wait for it.
-    assert!(took < SECOND * 9 / 10, "{took}");
+    assert!(elapsed < SECOND * 9 / 10, "{elapsed}");
 }
 
-/// Starts a backend that answers each request with this body and passes on the connections that it accepts.
+/// Starts a backend that responds to each request with this body and passes on the connections that it
+/// accepts.
 fn spawn_backend(body: &'static str) -> (SocketAddr, std::sync::mpsc::Receiver<std::net::TcpStream>) {
     use std::io::{BufRead, BufReader, Write};
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("listen");
-    let at = listener.local_addr().expect("local address");
+    let address = listener.local_addr().expect("local address");
     let (accepted, connections) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
@@ -146,7 +147,7 @@
             });
         }
     });
-    (at, connections)
+    (address, connections)
 }
 
 /// Sends two requests to one backend, the second over the idle connection of the first if that is still
@@ -213,13 +214,13 @@
                 let stream = Rc::new(stream);
                 accepted.borrow_mut().push(stream.clone());
                 spawn_local(async move {
-                    // Only the first request on a connection is answered.
-                    let (mut chunk, mut unanswered) = ([0; 4096], true);
+                    // Only the first request on a connection gets a response.
+                    let (mut chunk, mut is_first) = ([0; 4096], true);
                     loop {
                         stream.readable().await.expect("readable");
                         match stream.try_read(&mut chunk) {
                             Ok(0) => return,
-                            Ok(_) if std::mem::take(&mut unanswered) => {
+                            Ok(_) if std::mem::take(&mut is_first) => {
                                 assert!(stream.try_write(response_with("right").as_bytes()).is_ok());
                             }
                             Ok(_) => {}
