--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -177,7 +177,7 @@
 pub enum CallBehavior {
     /// Sends the list, at once or when it changes.
     SendList,
-    /// Never answers.
+    /// Never responds.
     Hang,
     /// Sends an endless response byte by byte.
     Trickle,
@@ -250,11 +250,11 @@
                 message.start_line.split("from=").nth(1).and_then(|t| t.split('&').next()?.parse().ok());
             let (lock, changed) = &*self.state;
             let state = lock.lock().unwrap();
-            let seen = |state: &mut (u64, String)| Some(state.0) == from_rev;
+            let unchanged = |state: &mut (u64, String)| Some(state.0) == from_rev;
             let hold_ms =
                 message.start_line.split("hold_ms=").nth(1).and_then(|t| t.split(' ').next()?.parse().ok());
             let timeout = Duration::from_millis(hold_ms.unwrap_or(0));
-            let (state, _) = changed.wait_timeout_while(state, timeout, seen).unwrap();
+            let (state, _) = changed.wait_timeout_while(state, timeout, unchanged).unwrap();
             let text = if Some(state.0) == from_rev {
                 format!(r#"{{"rev":{},"all":false,"targets":[]}}"#, state.0)
             } else {
--- a/node/tests/lifecycle.rs
+++ b/node/tests/lifecycle.rs
@@ -134,7 +134,7 @@
     }
     assert!(idle.read_response().is_none(), "an idle connection is closed");
     gate.open();
-    let response = slow.read_response().expect("the slow request is answered");
+    let response = slow.read_response().expect("the slow request gets a response");
     assert_eq!((response.status(), response.body.as_slice()), (200, b"slow".as_slice()));
     assert_eq!(node.child.wait().unwrap().code(), Some(0));
 }
@@ -154,19 +154,20 @@
         .map(|number| {
             let terminated = terminated.clone();
             thread::spawn(move || {
-                let (mut answered, mut closed_early, mut client) = (0u32, 0u32, Client::connect(address));
+                let (mut response_count, mut closed_early, mut client) =
+                    (0u32, 0u32, Client::connect(address));
                 for call in 0.. {
                     let first_request = call == 0;
                     client.try_write(&get(&format!("l{number}-{call}"), ""));
                     match client.read_response() {
                         Some(response) => {
                             assert_eq!(response.status(), 200);
-                            answered += 1;
+                            response_count += 1;
                             if response.header("connection") != Some("close") {
                                 continue;
                             }
                             if terminated.load(std::sync::atomic::Ordering::SeqCst) {
-                                return (answered, closed_early);
+                                return (response_count, closed_early);
                             }
                         }
                         // The node closed the idle connection just as the next request was sent.
@@ -176,7 +177,7 @@
                                 "request lost"
                             );
                             closed_early += 1;
-                            return (answered, closed_early);
+                            return (response_count, closed_early);
                         }
                     }
                     client = Client::connect(address);
@@ -203,8 +204,8 @@
         assert_eq!(client.join().unwrap(), 200);
     }
     for client in clients {
-        let (answered, closed_early) = client.join().expect("no request was lost");
-        assert!(answered > 0 && closed_early <= 1);
+        let (response_count, closed_early) = client.join().expect("no request was lost");
+        assert!(response_count > 0 && closed_early <= 1);
     }
     assert_eq!(node.child.wait().unwrap().code(), Some(0));
 }
@@ -231,7 +232,7 @@
     let response = Client::connect(node.address).request(&get("late", "")).expect("a response");
     assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
     gate.open();
-    assert_eq!(slow.read_response().expect("the slow request is answered").body, b"slow");
+    assert_eq!(slow.read_response().expect("the slow request gets a response").body, b"slow");
     assert_eq!(node.child.wait().unwrap().code(), Some(0));
 }
 
--- a/node/tests/soak.rs
+++ b/node/tests/soak.rs
@@ -1,5 +1,5 @@
 //! Soak test of graceful shutdowns with randomized runs: busy and idle clients, hanging backends, repeated signals, and
-//! SIGKILL at the earliest time allowed. Every request that reached a backend must be answered, and so must the first
+//! SIGKILL at the earliest time allowed. Every request that reached a backend must get a response, and so must the first
 //! request on every accepted connection.
 //!
 //! `SOAK_SEEDS=60 cargo test -p badgerpost --test soak` runs more seeds.
@@ -20,7 +20,7 @@
 const SEEDS: u64 = 8;
 const PARALLEL_RUNS: u64 = 4;
 /// SIGKILL follows SIGTERM after the longest deadline and this margin.
-const KILL_MARGIN: Duration = Duration::from_millis(700);
+const SIGKILL_MARGIN: Duration = Duration::from_millis(700);
 /// How long after SIGTERM clients open new connections.
 const CONNECT_PERIOD: Duration = Duration::from_millis(300);
 
@@ -37,9 +37,9 @@
 /// The results of all clients of a run.
 #[derive(Default)]
 struct ClientResults {
-    answered: AtomicU32,
+    responses: AtomicU32,
     /// Requests whose connection was closed without a response.
-    unanswered: Mutex<Vec<String>>,
+    without_response: Mutex<Vec<String>>,
     /// Requests without a response that were the first on their connection.
     lost_first_requests: Mutex<Vec<String>>,
 }
@@ -84,11 +84,11 @@
                 if first && connecting.load(Ordering::SeqCst) {
                     results.lost_first_requests.lock().unwrap().push(id.clone());
                 }
-                results.unanswered.lock().unwrap().push(id);
+                results.without_response.lock().unwrap().push(id);
                 break;
             };
             first = false;
-            results.answered.fetch_add(1, Ordering::SeqCst);
+            results.responses.fetch_add(1, Ordering::SeqCst);
             if response.header("connection") == Some("close") {
                 break;
             }
@@ -144,7 +144,7 @@
     thread::sleep(CONNECT_PERIOD.saturating_sub(terminated_at.elapsed()));
     connecting.store(false, Ordering::SeqCst);
     let until_kill =
-        (deadline.min(Duration::from_secs(3)) + KILL_MARGIN).saturating_sub(terminated_at.elapsed());
+        (deadline.min(Duration::from_secs(3)) + SIGKILL_MARGIN).saturating_sub(terminated_at.elapsed());
     thread::sleep(until_kill);
     let _ = node.child.kill();
     let _ = node.child.wait();
@@ -158,16 +158,16 @@
             backend.requests.try_iter().filter_map(|request| request.header("x-call-id").map(str::to_owned))
         })
         .collect();
-    let unanswered = results.unanswered.lock().unwrap();
-    let lost: Vec<&String> = unanswered.iter().filter(|id| received.contains(*id)).collect();
+    let without_response = results.without_response.lock().unwrap();
+    let lost: Vec<&String> = without_response.iter().filter(|id| received.contains(*id)).collect();
     let first = results.lost_first_requests.lock().unwrap();
-    let answered = results.answered.load(Ordering::SeqCst);
-    if lost.is_empty() && first.is_empty() && answered > 0 {
-        return Ok(answered);
+    let responses = results.responses.load(Ordering::SeqCst);
+    if lost.is_empty() && first.is_empty() && responses > 0 {
+        return Ok(responses);
     }
-    let summary = format!("{answered} answered, {idle_count} idle, {hanging} hang, deadline {deadline:?}");
+    let summary = format!("{responses} responses, {idle_count} idle, {hanging} hang, deadline {deadline:?}");
     Err(format!(
-        "seed {seed}: unanswered requests that reached a backend {lost:?}; lost first requests {first:?}; {summary}"
+        "seed {seed}: requests without a response that reached a backend {lost:?}; lost first requests {first:?}; {summary}"
     ))
 }
 
@@ -190,7 +190,7 @@
     let runs: Vec<Result<u32, String>> =
         workers.into_iter().flat_map(|worker| worker.join().expect("the worker finishes")).collect();
     let failed: Vec<&String> = runs.iter().filter_map(|run| run.as_ref().err()).collect();
-    let answered: u32 = runs.iter().flatten().sum();
-    println!("{} seeds run, {} failed, {answered} requests answered", runs.len(), failed.len());
+    let responses: u32 = runs.iter().flatten().sum();
+    println!("{} seeds run, {} failed, {responses} responses", runs.len(), failed.len());
     assert!(failed.is_empty(), "{failed:#?}");
 }
--- a/node/tests/unresponsive_discovery.rs
+++ b/node/tests/unresponsive_discovery.rs
@@ -140,7 +140,7 @@
     assert!(!node.log_contains("invalid backend list"));
 }
 
-/// Guards against extra calls to discovery while its watch is answered.
+/// Guards against extra calls to discovery while its watch gets responses.
 #[test]
 fn a_healthy_watch_makes_one_call_at_a_time() {
     let backend = backend_responding("yes");
