--- a/node/src/discovery/poller.rs
+++ b/node/src/discovery/poller.rs
@@ -1,12 +1,13 @@
 //! Decides when to poll discovery and how long to wait for each response, as a state machine: time is an
 //! argument, and the caller owns the sockets.
 //!
-//! From a certain time on, a change of the list counts as known and the node is expected to act on it. The
-//! timeouts make sure that the node has received it by then, give or take the grace period of a drain. With
-//! an agent on the node's machine, a change counts as known when the agent has it, also right after an outage
-//! of the agent. If a poll hangs, the changes it missed count as known 6 s after it began to hang or 2 s
-//! after its hold time, whichever is later; after a failed poll, 6 s after the change, however long the next
-//! hold time is. An overdue poll is therefore not waited for: another one is started beside it.
+//! The contract sets a time from which the node counts as notified of a change of the list and must act on
+//! it. The timeouts make sure that the node has received the change by then, or at most the grace period of a
+//! drain later. With an agent on the node's machine, the node counts as notified when the agent has the
+//! change, also right after an outage of the agent. If a poll hangs, the node counts as notified of the
+//! changes it missed 6 s after it began to hang or 2 s after its hold time, whichever is later; after a
+//! failed poll, 6 s after the change, however long the next hold time is. An overdue poll is therefore not
+//! waited for: another one is started beside it.
 
 use std::time::Duration;
 
@@ -33,9 +34,9 @@
 
 impl Timeouts {
     /// For an agent on the node's own machine, where polls are cheap. A poll with a hold time of 2 s that
-    /// hangs is overdue 3.75 s before the changes it missed count as known. When the agent is back, a poll is
-    /// started within the 500 ms of the drain grace period, whether the agent had refused polls, dropped them
-    /// or queued them.
+    /// hangs is overdue 3.75 s before the node counts as notified of the changes it missed. When the agent is
+    /// back, a poll is started within the 500 ms of the drain grace period, whether the agent had refused
+    /// polls, dropped them or queued them.
     pub const PUSHED: Self = Self {
         hold: (ms(2000), ms(2000)),
         hold_margin: ms(500),
@@ -45,10 +46,10 @@
         backoff: (ms(50), ms(200)),
     };
     /// For one service that all nodes poll: hold times are long and only one poll is in flight. A long poll
-    /// times out 1.5 s before the changes it missed count as known, and the longest response timeout and
-    /// backoff together fit into 6 s. After a failure changes count as known after 6 s whatever the hold
-    /// time, so the first hold time is short enough for a timeout and one more poll. The balancer usually
-    /// requests the next poll before the backoff ends.
+    /// times out 1.5 s before the node counts as notified of the changes it missed, and the longest response
+    /// timeout and backoff together fit into 6 s. After a failure the node counts as notified of a change
+    /// after 6 s whatever the hold time, so the first hold time is short enough for a timeout and one more
+    /// poll. The balancer usually requests the next poll before the backoff ends.
     pub const ON_REQUEST: Self = Self {
         hold: (ms(20_000), ms(3500)),
         hold_margin: ms(500),
@@ -113,9 +114,9 @@
         self.due().filter(|due| *due <= now)?;
         let from = self.rev.filter(|_| !full);
         let Timeouts { hold, hold_margin, response, overdue_after, max_in_flight, .. } = self.timeouts;
-        // With an agent, changes count as known while a new connection is being opened, so the first poll
-        // over it has no hold time. If the agent closes every connection, such a poll is followed by one with
-        // a hold time.
+        // With an agent, the node counts as notified of changes while a new connection is being opened, so
+        // the first poll over it has no hold time. If the agent closes every connection, such a poll is
+        // followed by one with a hold time.
         let reconnecting = max_in_flight > 1 && !connected && !self.is_current;
         // After a failure or beside an overdue poll the response must not be held.
         let may_hold = from.is_some() && self.failures == 0 && self.in_flight.is_empty() && !reconnecting;
--- a/node/src/discovery/poller/tests.rs
+++ b/node/src/discovery/poller/tests.rs
@@ -30,7 +30,7 @@
 }
 
 /// Simulates a poller against a server with random outages, changes and hanging polls. Returns for each
-/// change when it counts as known to the node, and when the node received it.
+/// change when the node counts as notified of it, and when the node received it.
 fn simulate(pushed: bool, timeouts: Timeouts, seed: u64) -> Vec<(Duration, Duration)> {
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
     let mut states = vec![(Duration::ZERO, ServerState::Available)];
@@ -53,7 +53,7 @@
     };
     let mut changes: Vec<Duration> = (0..12).map(|_| appears_at(ms(rng.random_range(0..50_000)))).collect();
     changes.sort_unstable();
-    let mut known_at = vec![NEVER; changes.len()];
+    let mut notified_at = vec![NEVER; changes.len()];
     let mut received_at = vec![NEVER; changes.len()];
     let mut poller = Poller::new(timeouts, Some(0));
     let mut polls: Vec<SimulatedPoll> = Vec::new();
@@ -72,14 +72,14 @@
                 poll.hangs_since = Some(now);
             }
         }
-        // When each new change counts as known.
+        // When the node counts as notified of each new change.
         for (change, at) in changes.iter().enumerate().filter(|(_, at)| **at <= now) {
-            if known_at[change] != NEVER {
+            if notified_at[change] != NEVER {
                 continue;
             }
             let hanging = polls.iter().filter_map(|poll| Some((poll, poll.hangs_since?))).next();
             let held = polls.iter().find(|poll| poll.request.hold > Duration::ZERO);
-            known_at[change] = match (hanging, held) {
+            notified_at[change] = match (hanging, held) {
                 (Some((poll, since)), _) => {
                     (since + ms(6000)).max(poll.started_at + poll.request.hold + ms(2000)).max(*at)
                 }
@@ -89,15 +89,15 @@
             };
             // After a failure, whatever the hold time.
             if failed && !pushed {
-                known_at[change] = known_at[change].min(*at + ms(6000));
+                notified_at[change] = notified_at[change].min(*at + ms(6000));
             }
-            // During an outage nothing counts as known: an agent's list counts when the outage ends, a
+            // During an outage the node is not notified: an agent's list counts when the outage ends, a
             // service's 6 s later.
             let outages = states.windows(2).filter(|pair| pair[0].1 != ServerState::Available);
             for (from, outage_end) in outages.map(|pair| (pair[0].0, pair[1].0)) {
-                if from <= known_at[change] && outage_end > *at {
-                    known_at[change] =
-                        known_at[change].max(if pushed { outage_end } else { outage_end + ms(6000) });
+                if from <= notified_at[change] && outage_end > *at {
+                    notified_at[change] =
+                        notified_at[change].max(if pushed { outage_end } else { outage_end + ms(6000) });
                 }
             }
         }
@@ -156,12 +156,16 @@
         }
         now += STEP;
     }
-    known_at.into_iter().zip(received_at).filter(|(known, _)| *known + DRAIN_GRACE < SIMULATED_TIME).collect()
+    notified_at
+        .into_iter()
+        .zip(received_at)
+        .filter(|(notified_at, _)| *notified_at + DRAIN_GRACE < SIMULATED_TIME)
+        .collect()
 }
 
-/// The longest time by which a change was received after it counted as known.
+/// The longest time by which a change was received after the node counted as notified of it.
 fn max_delay(pushed: bool, timeouts: Timeouts) -> Duration {
-    let delay = |(known, received): (Duration, Duration)| received.saturating_sub(known);
+    let delay = |(notified_at, received_at): (Duration, Duration)| received_at.saturating_sub(notified_at);
     (0..150).flat_map(|seed| simulate(pushed, timeouts, seed)).map(delay).max().expect("changes")
 }
 
@@ -195,7 +199,7 @@
         response: (ms(21_000), ms(21_000)),
         ..Timeouts::ON_REQUEST
     };
-    // After a failure, changes count as known 6 s later however long the hold time is.
+    // After a failure, the node counts as notified of changes 6 s later however long the hold time is.
     let long_hold_after_failure = Timeouts { hold: (ms(20_000), ms(20_000)), ..Timeouts::ON_REQUEST };
     for (pushed, timeouts) in [
         (true, long_polls),
