--- a/settings/src/fields.rs
+++ b/settings/src/fields.rs
@@ -14,7 +14,7 @@
 impl<'a> Fields<'a> {
     /// Error message for a field that is missing or invalid.
     pub fn invalid(&self, field: &str) -> String {
-        format!("{}: field {field} is missing or of the wrong type", self.tag)
+        format!("{}: field {field} is missing or invalid", self.tag)
     }
 
     /// Returns a field that must be present and not null.
