--- a/tests/zone_choice.rs
+++ b/tests/zone_choice.rs
@@ -13,13 +13,13 @@
 }
 
 /// A node that has load reports of every zone; each zone is listed alone until it has reported.
-fn with_reports(utils: [f64; 3]) -> Node {
+fn with_reports(utilisations: [f64; 3]) -> Node {
     let mut node = Node::new(settings(Idempotency::Idempotent), zones());
     for remote in [1, 2, 0] {
         let only = zones().into_iter().filter(|member| member.zone == ZoneId(remote)).collect();
         node.update_list(ListScope::Full, only);
         node.update_list(ListScope::Full, zones().into_iter().filter(|m| m.zone == ZoneId(remote)).collect());
-        node.serve(10, |to| util(utils[zone(to) as usize]));
+        node.serve(10, |to| util(utilisations[zone(to) as usize]));
     }
     node
 }
