--- a/model/src/invariants.rs
+++ b/model/src/invariants.rs
@@ -111,7 +111,7 @@
 
 /// Final answer to a request, as sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FinalAnswer {
+pub enum FinalResponse {
     /// Served.
     Served,
     /// Rejected: safe to retry.
@@ -144,7 +144,7 @@
     dedup_window: Nanos,
     not_after: Nanos,
     excused: bool,
-    answered: Option<(FinalAnswer, Nanos)>,
+    answered: Option<(FinalResponse, Nanos)>,
     attempts: Vec<Attempt>,
     last_activity: Nanos,
 }
@@ -313,7 +313,7 @@
     }
 
     /// A client received the final answer to a request.
-    pub fn request_answered(&mut self, id: u64, answer: FinalAnswer, now: Nanos) {
+    pub fn response_received(&mut self, id: u64, answer: FinalResponse, now: Nanos) {
         let tolerances = self.tolerances;
         let Some(record) = self.requests.get_mut(&id) else { return };
         record.last_activity = record.last_activity.max(now);
@@ -325,7 +325,7 @@
             violations.push((Rule::OneOutcome, format!("answered {late_ms} ms after the deadline")));
         }
         let ran = record.attempts.iter().find(|attempt| attempt.may_have_run).map(|attempt| attempt.server);
-        if let (FinalAnswer::Rejected, Some(server), false) =
+        if let (FinalResponse::Rejected, Some(server), false) =
             (answer, ran, record.idempotency == Idempotency::Idempotent)
         {
             violations.push((Rule::RunsOnce, format!("rejected although server {server} may have run it")));
--- a/model/src/server.rs
+++ b/model/src/server.rs
@@ -44,8 +44,8 @@
     /// Factor by which the server is slowed down.
     pub slowdown: f64,
     /// CPU utilization below which the server recovers.
-    pub recovery_utilization: f64,
-    /// How long the utilization must stay below `recovery_utilization`, in nanoseconds.
+    pub recovery_utilisation: f64,
+    /// How long the utilization must stay below `recovery_utilisation`, in nanoseconds.
     pub recovery_time: Nanos,
     /// Maximum duration of the slowdown, in nanoseconds.
     pub max_duration: Nanos,
@@ -638,7 +638,7 @@
         let overloaded = self.queued_per_core() >= congestion.queued_per_core;
         self.overloaded_since = overloaded.then(|| self.overloaded_since.unwrap_or(self.now));
         let utilization = (self.cpu_jobs as f64 / self.spec.cores).min(1.0);
-        let calm = utilization < congestion.recovery_utilization;
+        let calm = utilization < congestion.recovery_utilisation;
         self.calm_since = calm.then(|| self.calm_since.unwrap_or(self.now));
     }
 
--- a/model/src/shard/driver.rs
+++ b/model/src/shard/driver.rs
@@ -74,9 +74,9 @@
                     }
                 }
                 Action::Reject { request, retry_after } => {
-                    self.send_final_answer(request.0, FinalAnswer::Rejected, retry_after)
+                    self.send_final_answer(request.0, FinalResponse::Rejected, retry_after)
                 }
-                Action::Fail { request } => self.send_final_answer(request.0, FinalAnswer::Failed, 0),
+                Action::Fail { request } => self.send_final_answer(request.0, FinalResponse::Failed, 0),
                 Action::Cancel { request, attempt } => {
                     self.end_attempt(request.0, attempt as usize, Outcome::Cancelled, None);
                 }
@@ -363,7 +363,7 @@
             );
         }
         if outcome == Outcome::Served {
-            self.send_final_answer(id, FinalAnswer::Served, 0);
+            self.send_final_answer(id, FinalResponse::Served, 0);
         }
         let answered = self.open_tries.get(id).is_none_or(|open_try| open_try.answered);
         let result = AttemptResult {
@@ -379,22 +379,22 @@
     }
 
     /// Sends the final answer to the client.
-    pub(super) fn send_final_answer(&mut self, id: u64, answer: FinalAnswer, retry_after: Nanos) {
+    pub(super) fn send_final_answer(&mut self, id: u64, answer: FinalResponse, retry_after: Nanos) {
         let Some(open_try) = self.open_tries.get_mut(id).filter(|open_try| !open_try.answered) else {
             return;
         };
         open_try.answered = true;
         let (request, try_number) = (open_try.request, open_try.try_number);
-        self.invariants.request_answered(id, answer, self.now);
+        self.invariants.response_received(id, answer, self.now);
         if let Some(open_try) = self.open_tries.get_mut(id).filter(|open_try| !open_try.client_done) {
             open_try.client_done = true;
             self.try_ended(
                 request,
                 try_number,
                 match answer {
-                    FinalAnswer::Served => TryOutcome::Served,
-                    FinalAnswer::Rejected => TryOutcome::Rejected(retry_after),
-                    FinalAnswer::Failed => TryOutcome::Failed,
+                    FinalResponse::Served => TryOutcome::Served,
+                    FinalResponse::Rejected => TryOutcome::Rejected(retry_after),
+                    FinalResponse::Failed => TryOutcome::Failed,
                 },
             );
         }
--- a/model/src/shard/mod.rs
+++ b/model/src/shard/mod.rs
@@ -24,7 +24,7 @@
 use crate::balancers::BalancerSet;
 use crate::clients::{self, ClientRequest, RequestGenerator, TryOutcome};
 use crate::dedup::{DedupKey, DedupTable};
-use crate::invariants::{FinalAnswer, InvariantChecker, Rule, Tolerances};
+use crate::invariants::{FinalResponse, InvariantChecker, Rule, Tolerances};
 use crate::scenario::{Idempotency, Range};
 use crate::server::{Admission, Job, JobOutcome, Server, ServerFault};
 use crate::slab::Slab;
--- a/model/src/world.rs
+++ b/model/src/world.rs
@@ -576,7 +576,7 @@
         queued_per_core: Range::new(7.0, 4.0).interpolate(rng.random()),
         onset: seconds(Range::new(2.5, 1.5).interpolate(rng.random())),
         slowdown: Range::new(2.0, 3.5).interpolate(rng.random()),
-        recovery_utilization: Range::new(0.4, 0.25).interpolate(rng.random()),
+        recovery_utilisation: Range::new(0.4, 0.25).interpolate(rng.random()),
         recovery_time: seconds(Range::new(2.1, 4.7).interpolate(rng.random())),
         max_duration: seconds(Range::new(16.0, 31.0).interpolate(rng.random())),
     });
--- a/model/tests/invariants.rs
+++ b/model/tests/invariants.rs
@@ -27,7 +27,7 @@
     let mut checker = checker(Idempotency::NonIdempotent);
     let attempt = checker.attempt_arrived(1, 7, 0, None, 10 * MS).expect("known request");
     checker.attempt_ended(1, attempt, true, 50 * MS);
-    checker.request_answered(1, FinalAnswer::Served, 50 * MS);
+    checker.response_received(1, FinalResponse::Served, 50 * MS);
     checker.remove_if_done(1);
     assert_eq!((violated_rules(&checker), checker.open_requests()), (vec![], 0));
     assert!(checker.reports().iter().filter(|rule| rule.checked > 0).count() >= 5);
@@ -41,12 +41,12 @@
     for (at, expected) in [(SECOND + 20 * MS, vec![]), (SECOND + 21 * MS, single_violation(Rule::OneOutcome))]
     {
         let mut late = checker(Idempotency::Idempotent);
-        late.request_answered(1, FinalAnswer::Failed, at);
+        late.response_received(1, FinalResponse::Failed, at);
         assert_eq!(violated_rules(&late), expected, "{at}");
     }
     let mut twice = checker(Idempotency::Idempotent);
-    twice.request_answered(1, FinalAnswer::Failed, SECOND);
-    twice.request_answered(1, FinalAnswer::Served, SECOND);
+    twice.response_received(1, FinalResponse::Failed, SECOND);
+    twice.response_received(1, FinalResponse::Served, SECOND);
     assert_eq!(violated_rules(&twice), single_violation(Rule::OneOutcome));
     let mut excused = checker(Idempotency::Idempotent);
     excused.excuse(1);
@@ -66,7 +66,7 @@
     let mut rejected = checker(Idempotency::NonIdempotent);
     let first = rejected.attempt_arrived(1, 7, 0, None, 0).expect("known request");
     rejected.attempt_ended(1, first, true, 10 * MS);
-    rejected.request_answered(1, FinalAnswer::Rejected, 10 * MS);
+    rejected.response_received(1, FinalResponse::Rejected, 10 * MS);
     assert_eq!(violated_rules(&rejected), single_violation(Rule::RunsOnce));
 }
 
--- a/model/tests/server.rs
+++ b/model/tests/server.rs
@@ -119,7 +119,7 @@
         queued_per_core: 2.0,
         onset: SECOND,
         slowdown: 4.0,
-        recovery_utilization: 0.5,
+        recovery_utilisation: 0.5,
         recovery_time: 2 * SECOND,
         max_duration: 60 * SECOND,
     };
--- a/rig/src/load_generator.rs
+++ b/rig/src/load_generator.rs
@@ -9,7 +9,7 @@
 use brookfield::Nanos;
 use bytes::Bytes;
 use flaxdale_model::clients::{self, ClientRequest, RequestGenerator, TryOutcome};
-use flaxdale_model::invariants::{FinalAnswer, wire_id};
+use flaxdale_model::invariants::{FinalResponse, wire_id};
 use flaxdale_model::scenario::Idempotency;
 use flaxdale_model::stats::RequestOutcome;
 use flaxdale_model::world::{MS, SECOND, rng_stream};
@@ -214,19 +214,19 @@
             tracker.invariants.excuse(id);
         }
         let (final_answer, try_outcome) = match result {
-            CallResult::Response(StatusCode::OK, _) => (Some(FinalAnswer::Served), TryOutcome::Served),
+            CallResult::Response(StatusCode::OK, _) => (Some(FinalResponse::Served), TryOutcome::Served),
             CallResult::Response(
                 StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS,
                 retry_after,
-            ) => (Some(FinalAnswer::Rejected), TryOutcome::Rejected(retry_after)),
-            CallResult::Response(..) => (Some(FinalAnswer::Failed), TryOutcome::Failed),
+            ) => (Some(FinalResponse::Rejected), TryOutcome::Rejected(retry_after)),
+            CallResult::Response(..) => (Some(FinalResponse::Failed), TryOutcome::Failed),
             CallResult::Unreachable => (None, TryOutcome::Unreachable),
             CallResult::Error | CallResult::Timeout => (None, TryOutcome::Failed),
         };
         // The request info is kept for a while: a paused node or a cut link may deliver the request after its client
         // has given up.
         match final_answer {
-            Some(final_answer) => tracker.invariants.request_answered(id, final_answer, answered_at),
+            Some(final_answer) => tracker.invariants.response_received(id, final_answer, answered_at),
             None => tracker.invariants.request_expired(id, answered_at),
         }
         // The client has given up by then.
