--- a/model/src/dedup.rs
+++ b/model/src/dedup.rs
@@ -1,4 +1,4 @@
-//! Deduplication of keyed requests. A repeat within the window is answered by any server of the group without
+//! Deduplication of keyed requests. Any server of the group responds to a repeat within the window without
 //! running it again.
 
 use std::collections::HashMap;
@@ -41,7 +41,7 @@
         self.entries.get(&key).is_some_and(|entry| now < entry.expires_at)
     }
 
-    /// A server accepted the request: its repeats are answered without running for `window`.
+    /// A server accepted the request: its repeats get a response without running for `window`.
     pub fn insert(&mut self, key: DedupKey, job: JobRef, window: Nanos, now: Nanos) {
         if self.entries.len() >= self.sweep_at.max(MIN_SWEEP_SIZE) {
             self.entries.retain(|_, entry| now < entry.expires_at);
--- a/model/src/invariants.rs
+++ b/model/src/invariants.rs
@@ -16,7 +16,7 @@
 /// The rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
-    /// Each request gets exactly one final answer, in time.
+    /// Each request gets exactly one final response, in time.
     OneOutcome,
     /// A non-repeatable request never runs twice, and is not rejected once it may have run.
     RunsOnce,
@@ -36,7 +36,7 @@
     ProcessesEnded,
     /// Registrations acknowledged by the registry are present at the end.
     RegistryKeeps,
-    /// No client of the registry sees the list's version go backwards.
+    /// No client of the registry sees the list's revision go backwards.
     RegistryForward,
     /// Every client of the registry has the committed list at the end.
     RegistrySame,
@@ -109,7 +109,7 @@
     pub violations: Vec<Violation>,
 }
 
-/// Final answer to a request, as sent to the client.
+/// Final response to a request, as sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalResponse {
     /// Served.
@@ -123,7 +123,7 @@
 /// Tolerances of the checks.
 #[derive(Clone, Copy, Debug)]
 pub struct Tolerances {
-    /// How long after its deadline a request may still be answered.
+    /// How long after its deadline a request may still get its response.
     pub answer_slack: Nanos,
     /// How long after being notified of a drain a node may still send to the server.
     pub drain_grace: Nanos,
@@ -144,7 +144,7 @@
     dedup_window: Nanos,
     not_after: Nanos,
     excused: bool,
-    answered: Option<(FinalResponse, Nanos)>,
+    response: Option<(FinalResponse, Nanos)>,
     attempts: Vec<Attempt>,
     last_activity: Nanos,
 }
@@ -198,20 +198,20 @@
             dedup_window,
             not_after,
             excused: false,
-            answered: None,
+            response: None,
             attempts: Vec::new(),
             last_activity: now,
         };
         self.requests.insert(id, record);
     }
 
-    /// The node of a request was killed, paused or disconnected from the client, so no answer is owed.
+    /// The node of a request was killed, paused or disconnected from the client, so no response is owed.
     pub fn excuse(&mut self, id: u64) {
         self.requests.get_mut(&id).into_iter().for_each(|record| record.excused = true);
     }
 
-    /// An attempt arrived at a server. `drain_notified_at` is when the node was notified that the server drains. Returns
-    /// the index of the attempt.
+    /// An attempt arrived at a server. `drain_notified_at` is when the node was notified that the server drains.
+    /// Returns the index of the attempt.
     pub fn attempt_arrived(
         &mut self,
         id: u64,
@@ -312,25 +312,25 @@
         }
     }
 
-    /// A client received the final answer to a request.
-    pub fn response_received(&mut self, id: u64, answer: FinalResponse, now: Nanos) {
+    /// A client received the final response to a request.
+    pub fn response_received(&mut self, id: u64, response: FinalResponse, now: Nanos) {
         let tolerances = self.tolerances;
         let Some(record) = self.requests.get_mut(&id) else { return };
         record.last_activity = record.last_activity.max(now);
         let mut violations: Vec<(Rule, String)> = Vec::new();
-        if record.answered.is_some() {
-            violations.push((Rule::OneOutcome, "answered twice".to_owned()));
+        if record.response.is_some() {
+            violations.push((Rule::OneOutcome, "two responses".to_owned()));
         } else if !record.excused && now > record.not_after + tolerances.answer_slack {
             let late_ms = (now - record.not_after) / 1_000_000;
-            violations.push((Rule::OneOutcome, format!("answered {late_ms} ms after the deadline")));
+            violations.push((Rule::OneOutcome, format!("response {late_ms} ms after the deadline")));
         }
         let ran = record.attempts.iter().find(|attempt| attempt.may_have_run).map(|attempt| attempt.server);
         if let (FinalResponse::Rejected, Some(server), false) =
-            (answer, ran, record.idempotency == Idempotency::Idempotent)
+            (response, ran, record.idempotency == Idempotency::Idempotent)
         {
             violations.push((Rule::RunsOnce, format!("rejected although server {server} may have run it")));
         }
-        record.answered = Some((answer, now));
+        record.response = Some((response, now));
         self.record_check(Rule::OneOutcome);
         self.record_check(Rule::RunsOnce);
         for (rule, detail) in violations {
@@ -341,10 +341,15 @@
     /// The time of a request is up; attempts may still be in flight.
     pub fn request_expired(&mut self, id: u64, now: Nanos) {
         let Some(record) = self.requests.get(&id) else { return };
-        let unanswered = record.answered.is_none() && !record.excused;
-        if unanswered {
+        let response_missing = record.response.is_none() && !record.excused;
+        if response_missing {
             self.record_check(Rule::OneOutcome);
-            self.record_violation(Rule::OneOutcome, wire_id(id), now, "no answer by the deadline".to_owned());
+            self.record_violation(
+                Rule::OneOutcome,
+                wire_id(id),
+                now,
+                "no response by the deadline".to_owned(),
+            );
         }
     }
 
@@ -383,11 +388,11 @@
 
     /// Adds the results of another checker.
     pub fn merge(&mut self, other: &Self) {
-        for (own, other) in self.reports.iter_mut().zip(&other.reports) {
-            own.checked += other.checked;
-            own.violated += other.violated;
-            let remaining = MAX_VIOLATIONS.saturating_sub(own.violations.len());
-            own.violations.extend(other.violations.iter().take(remaining).cloned());
+        for (report, other) in self.reports.iter_mut().zip(&other.reports) {
+            report.checked += other.checked;
+            report.violated += other.violated;
+            let remaining = MAX_VIOLATIONS.saturating_sub(report.violations.len());
+            report.violations.extend(other.violations.iter().take(remaining).cloned());
         }
     }
 }
--- a/model/src/scenario.rs
+++ b/model/src/scenario.rs
@@ -722,7 +722,7 @@
                 format!("must have {} values, one per zone", fleet.zones.len()),
             );
         }
-        if !fleet.zone_weights.iter().all(|size| *size > 0.0 && size.is_finite()) {
+        if !fleet.zone_weights.iter().all(|weight| *weight > 0.0 && weight.is_finite()) {
             return error("fleet.sizes".into(), "must be above 0".into());
         }
         let check_range = |key: &str, range: Range, min: f64, max: f64| {
@@ -827,8 +827,8 @@
         if fault.at_s.min() < 0.0 || fault.at_s.max() > MAX_RUN_SECONDS {
             return error("at_s", format!("must be between 0 and {MAX_RUN_SECONDS}"));
         }
-        if fault.duration_s.is_some_and(|span| span.min() < 0.0)
-            || fault.interval_s.is_some_and(|s| s.min() < 0.0)
+        if fault.duration_s.is_some_and(|duration| duration.min() < 0.0)
+            || fault.interval_s.is_some_and(|interval| interval.min() < 0.0)
         {
             return error("for_s", "must not be negative".into());
         }
--- a/model/src/server.rs
+++ b/model/src/server.rs
@@ -22,8 +22,8 @@
 const RESPONSIBLE_SHARE: f64 = 2.0 / 3.0;
 /// Two start times closer than this are the same start: they may come from different clocks.
 const SAME_START_TOLERANCE_NS: Nanos = 500_000_000;
-/// Weight of the latest sample in the moving average of the reported utilization.
-const UTILIZATION_WEIGHT: f64 = 0.5;
+/// Weight of the latest sample in the moving average of the reported utilisation.
+const UTILISATION_WEIGHT: f64 = 0.5;
 
 /// What happens to the work of a cancelled attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -43,9 +43,9 @@
     pub onset: Nanos,
     /// Factor by which the server is slowed down.
     pub slowdown: f64,
-    /// CPU utilization below which the server recovers.
+    /// CPU utilisation below which the server recovers.
     pub recovery_utilisation: f64,
-    /// How long the utilization must stay below `recovery_utilisation`, in nanoseconds.
+    /// How long the utilisation must stay below `recovery_utilisation`, in nanoseconds.
     pub recovery_time: Nanos,
     /// Maximum duration of the slowdown, in nanoseconds.
     pub max_duration: Nanos,
@@ -449,7 +449,7 @@
         self.advance_clock(now);
     }
 
-    /// Reported CPU utilization, which lags behind by the reporting delay. `noise` is a draw from the
+    /// Reported CPU utilisation, which lags behind by the reporting delay. `noise` is a draw from the
     /// standard normal distribution.
     pub fn report(&mut self, now: Nanos, noise: f64) -> Option<f64> {
         let reporting = self.spec.reporting?;
@@ -458,7 +458,7 @@
         if elapsed >= reporting.period {
             let sample = (self.busy_core_ns / (elapsed as f64 * self.spec.cores)).min(1.0);
             let previous = self.util;
-            self.util += (sample - self.util) * UTILIZATION_WEIGHT;
+            self.util += (sample - self.util) * UTILISATION_WEIGHT;
             let noisy = (self.util * (1.0 + reporting.noise * noise)).clamp(0.0, 1.5);
             self.reported_util = Some((previous, now + reporting.delay, noisy));
             (self.busy_core_ns, self.sampled_at) = (0.0, now);
@@ -637,8 +637,8 @@
         let Some(congestion) = self.spec.congestion else { return };
         let overloaded = self.queued_per_core() >= congestion.queued_per_core;
         self.overloaded_since = overloaded.then(|| self.overloaded_since.unwrap_or(self.now));
-        let utilization = (self.cpu_jobs as f64 / self.spec.cores).min(1.0);
-        let calm = utilization < congestion.recovery_utilisation;
+        let utilisation = (self.cpu_jobs as f64 / self.spec.cores).min(1.0);
+        let calm = utilisation < congestion.recovery_utilisation;
         self.calm_since = calm.then(|| self.calm_since.unwrap_or(self.now));
     }
 
--- a/model/src/shard/driver.rs
+++ b/model/src/shard/driver.rs
@@ -24,7 +24,7 @@
         if !self.accepts_event(node, incarnation, || SimEvent::TryArrived { id }) {
             return;
         }
-        let Some(open_try) = self.open_tries.get(id).filter(|open_try| !open_try.answered) else { return };
+        let Some(open_try) = self.open_tries.get(id).filter(|open_try| !open_try.responded) else { return };
         let arrival = Arrival {
             request: RequestId(id),
             class: ClassId(request.class as u32),
@@ -74,9 +74,9 @@
                     }
                 }
                 Action::Reject { request, retry_after } => {
-                    self.send_final_answer(request.0, FinalResponse::Rejected, retry_after)
+                    self.send_final_response(request.0, FinalResponse::Rejected, retry_after)
                 }
-                Action::Fail { request } => self.send_final_answer(request.0, FinalResponse::Failed, 0),
+                Action::Fail { request } => self.send_final_response(request.0, FinalResponse::Failed, 0),
                 Action::Cancel { request, attempt } => {
                     self.end_attempt(request.0, attempt as usize, Outcome::Cancelled, None);
                 }
@@ -104,15 +104,15 @@
         let node_index = self.nodes[node as usize].index;
         let cell = spec.cell;
         let drain_notified_at = self.nodes[node as usize].drain_notified_at.get(&instance).copied();
-        // An attempt after the final answer would run for nobody.
+        // The result of an attempt after the final response would be discarded.
         let is_open =
-            |open_try: &&mut OpenTry| !open_try.answered && open_try.attempts.len() < 1 << ATTEMPT_BITS;
+            |open_try: &&mut OpenTry| !open_try.responded && open_try.attempts.len() < 1 << ATTEMPT_BITS;
         let Some(open_try) = self.open_tries.get_mut(id).filter(is_open) else {
             self.invariants.record_violation(
                 Rule::OneOutcome,
                 crate::invariants::wire_id(id),
                 now,
-                "attempt started after the final answer".into(),
+                "attempt started after the final response".into(),
             );
             return;
         };
@@ -203,17 +203,17 @@
     /// out.
     pub(super) fn take_idle_connection(&mut self, node: u32, instance: u32) -> Option<u64> {
         let now = self.now;
-        let found = {
+        let server_epoch = {
             let idle = &mut self.nodes[node as usize].idle_connections;
-            let at = idle
+            let index = idle
                 .iter()
                 .rposition(|idle| idle.instance == instance && now < idle.idle_since + IDLE_TIMEOUT);
-            at.map(|at| idle.remove(at).server_epoch)
+            index.map(|index| idle.remove(index).server_epoch)
         };
-        if found.is_none() {
+        if server_epoch.is_none() {
             self.close_stale_connections(node);
         }
-        found
+        server_epoch
     }
 
     pub(super) fn close_stale_connections(&mut self, node: u32) {
@@ -260,9 +260,9 @@
             return;
         }
         let (instance, request_written) = (current.instance, current.request_written);
-        // Attempts that have not connected for longer than this count as unreachable, which closes them in
+        // Attempts that have not connected for longer than this count as unresponsive, which closes them in
         // `settle`.
-        if request_written || self.now.saturating_sub(current.sent_at) < UNREACHABLE_AFTER {
+        if request_written || self.now.saturating_sub(current.sent_at) < UNRESPONSIVE_AFTER {
             let zone = self.shared.timeline.instances[instance as usize].zone;
             let delay = self.delay_to(zone);
             let job = job_id(self.zone, id, attempt as usize);
@@ -286,9 +286,9 @@
         if !current.in_flight || (connect_only && current.request_written) {
             return;
         }
-        let unreachable =
-            !current.request_written && self.now.saturating_sub(current.sent_at) >= UNREACHABLE_AFTER;
-        let outcome = match (unreachable, current.request_written) {
+        let unresponsive =
+            !current.request_written && self.now.saturating_sub(current.sent_at) >= UNRESPONSIVE_AFTER;
+        let outcome = match (unresponsive, current.request_written) {
             (true, _) => Outcome::ConnectFailed,
             (false, false) => Outcome::Moot,
             (false, true) => Outcome::TimedOut,
@@ -349,7 +349,7 @@
         let outcome =
             if current.request_written || outcome != Outcome::Cancelled { outcome } else { Outcome::Moot };
         let closes_connection = matches!(outcome, Outcome::TimedOut | Outcome::Cancelled | Outcome::Moot)
-            || (outcome == Outcome::ConnectFailed && now.saturating_sub(sent_at) >= UNREACHABLE_AFTER);
+            || (outcome == Outcome::ConnectFailed && now.saturating_sub(sent_at) >= UNRESPONSIVE_AFTER);
         if let Some(checker_index) = checker_index {
             self.invariants.attempt_ended(id, checker_index, outcome.may_have_run(), now);
         }
@@ -363,35 +363,35 @@
             );
         }
         if outcome == Outcome::Served {
-            self.send_final_answer(id, FinalResponse::Served, 0);
+            self.send_final_response(id, FinalResponse::Served, 0);
         }
-        let answered = self.open_tries.get(id).is_none_or(|open_try| open_try.answered);
+        let responded = self.open_tries.get(id).is_none_or(|open_try| open_try.responded);
         let result = AttemptResult {
             request: RequestId(id),
             attempt: attempt as u32,
             outcome,
             elapsed: now.saturating_sub(sent_at),
-            request_ended: answered,
+            request_ended: responded,
             report: LoadReport { util, ..LoadReport::default() },
         };
         self.notify_balancer(node, Event::AttemptEnded(result));
         self.remove_if_done(id);
     }
 
-    /// Sends the final answer to the client.
-    pub(super) fn send_final_answer(&mut self, id: u64, answer: FinalResponse, retry_after: Nanos) {
-        let Some(open_try) = self.open_tries.get_mut(id).filter(|open_try| !open_try.answered) else {
+    /// Sends the final response to the client.
+    pub(super) fn send_final_response(&mut self, id: u64, response: FinalResponse, retry_after: Nanos) {
+        let Some(open_try) = self.open_tries.get_mut(id).filter(|open_try| !open_try.responded) else {
             return;
         };
-        open_try.answered = true;
+        open_try.responded = true;
         let (request, try_number) = (open_try.request, open_try.try_number);
-        self.invariants.response_received(id, answer, self.now);
+        self.invariants.response_received(id, response, self.now);
         if let Some(open_try) = self.open_tries.get_mut(id).filter(|open_try| !open_try.client_done) {
             open_try.client_done = true;
             self.try_ended(
                 request,
                 try_number,
-                match answer {
+                match response {
                     FinalResponse::Served => TryOutcome::Served,
                     FinalResponse::Rejected => TryOutcome::Rejected(retry_after),
                     FinalResponse::Failed => TryOutcome::Failed,
@@ -415,10 +415,10 @@
             self.invariants.request_expired(id, self.now);
             return;
         };
-        let (node, incarnation, answered) = (open_try.node, open_try.incarnation, open_try.answered);
+        let (node, incarnation, responded) = (open_try.node, open_try.incarnation, open_try.responded);
         self.invariants.request_expired(id, self.now);
-        if !answered {
-            self.open_tries.get_mut(id).into_iter().for_each(|open_try| open_try.answered = true);
+        if !responded {
+            self.open_tries.get_mut(id).into_iter().for_each(|open_try| open_try.responded = true);
             if self.nodes[node as usize].up && self.nodes[node as usize].incarnation == incarnation {
                 self.notify_balancer(node, Event::ClientDisconnected { request: RequestId(id) });
             }
@@ -428,7 +428,7 @@
 
     pub(super) fn remove_if_done(&mut self, id: u64) {
         let is_done = |open_try: &OpenTry| {
-            open_try.answered
+            open_try.responded
                 && open_try.client_done
                 && open_try.attempts.iter().all(|attempt| !attempt.in_flight)
         };
--- a/model/src/shard/faults.rs
+++ b/model/src/shard/faults.rs
@@ -19,9 +19,11 @@
                 let Some(node) = local_index(node) else { return };
                 if begins {
                     self.nodes[node as usize].terminating = true;
-                    let longest = shared.world.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
-                    self.schedule(self.now + longest, SimEvent::NodeStop { node });
-                    let restarts_at = fault.until.unwrap_or(fault.at).max(self.now + longest) + SECOND / 10;
+                    let max_deadline =
+                        shared.world.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
+                    self.schedule(self.now + max_deadline, SimEvent::NodeStop { node });
+                    let restarts_at =
+                        fault.until.unwrap_or(fault.at).max(self.now + max_deadline) + SECOND / 10;
                     self.schedule(restarts_at, SimEvent::NodeStart { node });
                 }
             }
@@ -50,14 +52,16 @@
                 shard.reset_connections(instance, lost);
             }),
             FaultAction::SlowServer(server, factor) => {
-                self.set_server_fault(server, begins, |a| a.slowdown = factor)
+                self.set_server_fault(server, begins, |state| state.slowdown = factor)
+            }
+            FaultAction::HangServer(server) => {
+                self.set_server_fault(server, begins, |state| state.hung = true)
             }
-            FaultAction::HangServer(server) => self.set_server_fault(server, begins, |a| a.hung = true),
             FaultAction::FailServer(server, share) => {
-                self.set_server_fault(server, begins, |a| a.failure_rate = share)
+                self.set_server_fault(server, begins, |state| state.failure_rate = share)
             }
             FaultAction::BusyServer(server, share) => {
-                self.set_server_fault(server, begins, |a| a.stolen_cpu = share)
+                self.set_server_fault(server, begins, |state| state.stolen_cpu = share)
             }
             FaultAction::ReplaceServer(server) if begins => self.with_server(server, |shard, instance| {
                 if let Some(end) = shard.shared.timeline.instances[instance as usize].ends_at {
@@ -80,9 +84,9 @@
             FaultAction::OrderZone(..) => {
                 for node in 0..self.nodes.len() as u32 {
                     // Configuration files are rolled out to the nodes one after the other.
-                    let after = self.rng.random_range(0..SECOND);
+                    let delay = self.rng.random_range(0..SECOND);
                     let incarnation = self.nodes[node as usize].incarnation;
-                    self.schedule(self.now + after, SimEvent::ZoneOverrides { node, incarnation });
+                    self.schedule(self.now + delay, SimEvent::ZoneOverrides { node, incarnation });
                 }
             }
             FaultAction::Burst(factor) => {
@@ -97,7 +101,7 @@
         }
     }
 
-    /// Calls `then` with the current process of a server, if it is in this zone.
+    /// Calls `apply` with the current process of a server, if it is in this zone.
     pub(super) fn with_server(&mut self, server: usize, apply: impl FnOnce(&mut Self, u32)) {
         let timeline = &self.shared.timeline;
         let is_current = |i: &Instance| i.zone == self.zone && i.occupies(server, self.now);
--- a/model/src/shard/mod.rs
+++ b/model/src/shard/mod.rs
@@ -32,15 +32,15 @@
 use crate::timeline::{DISCOVERY_END, Timeline};
 use crate::world::{FaultAction, LinkEnd, LinkFault, MS, SECOND, World, rng_stream};
 
-/// How long after its deadline a request may still be answered.
+/// How long after its deadline a request may still get its response.
 pub const ANSWER_SLACK: Nanos = 20 * MS;
 /// Limits on the idle connections of a node: their number and their age.
 const MAX_IDLE_CONNECTIONS: usize = 512;
 const IDLE_TIMEOUT: Nanos = 7 * SECOND;
 /// Connecting fails after this time.
 const CONNECT_TIMEOUT: Nanos = 200 * MS;
-/// A server that has not accepted a connection after this time counts as unreachable.
-const UNREACHABLE_AFTER: Nanos = 40 * MS;
+/// A server that has not accepted a connection after this time counts as unresponsive.
+const UNRESPONSIVE_AFTER: Nanos = 40 * MS;
 /// Size of a request or response in bytes, for links with limited bandwidth.
 const MESSAGE_BYTES: f64 = 300.0;
 /// One-way delays until the first request on a new connection arrives, its own included.
@@ -86,7 +86,7 @@
     TryArrived { id: u64 },
     /// A client times out a try.
     ClientTimeout { id: u64 },
-    /// The time for a try's final answer is up.
+    /// The time for a try's final response is up.
     TryExpired { id: u64 },
     /// The connection of an attempt is reset.
     ConnectionReset { id: u64, attempt: u32 },
@@ -138,7 +138,7 @@
     node: u32,
     incarnation: u32,
     not_after: Nanos,
-    answered: bool,
+    responded: bool,
     client_done: bool,
     attempts: Vec<Attempt>,
 }
@@ -322,9 +322,9 @@
             }
         }
         let node_start = |node: usize| {
-            let first =
+            let late_start =
                 shared.timeline.faults.iter().find(|fault| fault.action == FaultAction::LateNode(node));
-            first.map_or(start, |fault| fault.at)
+            late_start.map_or(start, |fault| fault.at)
         };
         for node in 0..shard.nodes.len() {
             let at = node_start(shard.nodes[node].index);
@@ -483,7 +483,7 @@
         let now = self.now;
         let is_eligible = |node: &&Node| !node.terminating && node.avoided_from.is_none_or(|from| now < from);
         let eligible: Vec<u32> =
-            (0..).zip(&self.nodes).filter(|(_, node)| is_eligible(node)).map(|(at, _)| at).collect();
+            (0..).zip(&self.nodes).filter(|(_, node)| is_eligible(node)).map(|(index, _)| index).collect();
         let node = match eligible.len() {
             0 => None,
             count => Some(eligible[self.rng.random_range(0..count)]),
@@ -501,7 +501,7 @@
             node,
             incarnation,
             not_after,
-            answered: false,
+            responded: false,
             client_done: false,
             attempts,
         });
--- a/model/src/shard/processes.rs
+++ b/model/src/shard/processes.rs
@@ -108,7 +108,7 @@
         node_state.deferred_events.clear();
         let idle_connections = std::mem::take(&mut node_state.idle_connections);
         self.balancers.close(node as usize);
-        self.pending_events.retain(|(to, _)| *to != node as usize);
+        self.pending_events.retain(|(event_node, _)| *event_node != node as usize);
         for idle in idle_connections {
             let zone = self.shared.timeline.instances[idle.instance as usize].zone;
             let delay = self.delay_to(zone);
@@ -123,7 +123,7 @@
         for id in ids {
             self.invariants.excuse(id);
             let Some(open_try) = self.open_tries.get_mut(id) else { continue };
-            open_try.answered = true;
+            open_try.responded = true;
             let client_done = std::mem::replace(&mut open_try.client_done, true);
             let (request, try_number) = (open_try.request, open_try.try_number);
             let in_flight: Vec<(usize, u32, Option<usize>)> = open_try
--- a/model/src/simulation.rs
+++ b/model/src/simulation.rs
@@ -151,7 +151,7 @@
     for (zone, shard) in shards.into_iter().enumerate() {
         assignments[zone % threads].push((zone, shard));
     }
-    let worker = |mut own: Vec<(usize, Shard)>| {
+    let worker = |mut assigned: Vec<(usize, Shard)>| {
         loop {
             let from = next_event_at
                 .iter()
@@ -159,15 +159,15 @@
                 .min();
             // All threads must read the same times before any of them continues.
             barrier.wait();
-            let Some(from) = from.filter(|next| *next < stop) else { return own };
+            let Some(from) = from.filter(|next| *next < stop) else { return assigned };
             let until = (from + lookahead).min(stop);
-            for (zone, shard) in &mut own {
+            for (zone, shard) in &mut assigned {
                 shard.run_until(until);
                 *outboxes[*zone].lock().unwrap_or_else(PoisonError::into_inner) =
                     std::mem::take(&mut shard.outbox);
             }
             barrier.wait();
-            for (zone, shard) in &mut own {
+            for (zone, shard) in &mut assigned {
                 for sender in &outboxes {
                     let mut outbox = sender.lock().unwrap_or_else(PoisonError::into_inner);
                     for event in outbox.extract_if(.., |event| event.zone as usize == *zone) {
@@ -181,7 +181,8 @@
         }
     };
     let mut done: Vec<(usize, Shard)> = thread::scope(|scope| {
-        let running: Vec<_> = assignments.into_iter().map(|own| scope.spawn(|| worker(own))).collect();
+        let running: Vec<_> =
+            assignments.into_iter().map(|assigned| scope.spawn(|| worker(assigned))).collect();
         running.into_iter().filter_map(|thread| thread.join().ok()).flatten().collect()
     });
     done.sort_by_key(|(zone, _)| *zone);
--- a/model/src/stats.rs
+++ b/model/src/stats.rs
@@ -76,7 +76,7 @@
     pub cross_zone_attempts: u64,
     /// Connections opened by nodes.
     pub connections_opened: u64,
-    /// Repeats of keyed requests that were answered without running again.
+    /// Repeats of keyed requests that got a response without running again.
     pub duplicates_dropped: u64,
 }
 
@@ -141,8 +141,8 @@
         if self.per_second.len() < other.per_second.len() {
             self.per_second.resize(other.per_second.len(), OutcomeCounts::default());
         }
-        self.per_second.iter_mut().zip(&other.per_second).for_each(|(own, other)| own.add(other));
-        self.per_class.iter_mut().zip(&other.per_class).for_each(|(own, other)| own.add(other));
+        self.per_second.iter_mut().zip(&other.per_second).for_each(|(counts, other)| counts.add(other));
+        self.per_class.iter_mut().zip(&other.per_class).for_each(|(counts, other)| counts.add(other));
         // Both histograms have the same bounds, so adding does not fail.
         let _ = self.served_latency.add(&other.served_latency);
         let _ = self.overall_latency.add(&other.overall_latency);
--- a/model/src/timeline.rs
+++ b/model/src/timeline.rs
@@ -176,7 +176,7 @@
             LinkEnd::Zone(zone) => peer.1 == zone,
             _ => end == peer.0,
         };
-        let mut found = None;
+        let mut link_fault = None;
         for scheduled in self.faults.iter().filter(|scheduled| scheduled.is_active(now)) {
             let FaultAction::Link(first, second, one_way, fault) = scheduled.action else { continue };
             let forward = matches(first, from) && matches(second, to);
@@ -187,10 +187,10 @@
                 if fault == LinkFault::Cut {
                     return Some(fault);
                 }
-                found = found.or(Some(fault));
+                link_fault = link_fault.or(Some(fault));
             }
         }
-        found
+        link_fault
     }
 
     /// Traffic shares of all zones that any fault orders, at time `now`.
--- a/model/src/world.rs
+++ b/model/src/world.rs
@@ -451,19 +451,20 @@
         let share = fault.share.map(|share| sample_range(rng, share));
         let zone = fault.zone.as_ref().and_then(|name| self.zones.iter().position(|zone| zone == name));
         let select_targets = |rng: &mut _, prefix: &str, zones: Vec<u32>| -> Vec<usize> {
-            if let Some(who) = &fault.target {
-                let number = who.strip_prefix(prefix).and_then(|number| number.parse().ok());
+            if let Some(name) = &fault.target {
+                let number = name.strip_prefix(prefix).and_then(|number| number.parse().ok());
                 return number.filter(|number| *number < zones.len()).into_iter().collect();
             }
-            let mut all: Vec<usize> =
-                (0..zones.len()).filter(|&at| zone.is_none_or(|zone| zones[at] as usize == zone)).collect();
-            all.shuffle(rng);
+            let mut candidates: Vec<usize> = (0..zones.len())
+                .filter(|&index| zone.is_none_or(|zone| zones[index] as usize == zone))
+                .collect();
+            candidates.shuffle(rng);
             let count = match (fault.count, share) {
                 (Some(count), _) => count as usize,
-                (None, share) => (share.unwrap_or(0.0) * all.len() as f64).ceil() as usize,
+                (None, share) => (share.unwrap_or(0.0) * candidates.len() as f64).ceil() as usize,
             };
-            all.truncate(count);
-            all
+            candidates.truncate(count);
+            candidates
         };
         let for_each_target =
             |targets: Vec<usize>, act: &dyn Fn(usize) -> FaultAction| -> Vec<ScheduledFault> {
@@ -503,7 +504,7 @@
             if fault.target.as_deref() == Some(LEADER) {
                 single_fault(act(None))
             } else {
-                for_each_target(targets, &|at| act(Some(at)))
+                for_each_target(targets, &|replica| act(Some(replica)))
             }
         };
         let index_of_target =
--- a/model/tests/invariants.rs
+++ b/model/tests/invariants.rs
@@ -6,9 +6,9 @@
 
 const LIMITS: Tolerances = Tolerances { answer_slack: 20 * MS, drain_grace: 500 * MS, clock_skew: 10 * MS };
 
-fn checker(effect: Idempotency) -> InvariantChecker {
+fn checker(idempotency: Idempotency) -> InvariantChecker {
     let mut checker = InvariantChecker::new(LIMITS, 0);
-    checker.request_sent(1, effect, SECOND, SECOND, 0);
+    checker.request_sent(1, idempotency, SECOND, SECOND, 0);
     checker
 }
 
@@ -34,10 +34,10 @@
 }
 
 #[test]
-fn missing_late_and_second_answers_violate_one_outcome() {
-    let mut unanswered = checker(Idempotency::Idempotent);
-    unanswered.request_expired(1, 2 * SECOND);
-    assert_eq!(violated_rules(&unanswered), single_violation(Rule::OneOutcome));
+fn missing_late_and_second_responses_violate_one_outcome() {
+    let mut missing = checker(Idempotency::Idempotent);
+    missing.request_expired(1, 2 * SECOND);
+    assert_eq!(violated_rules(&missing), single_violation(Rule::OneOutcome));
     for (at, expected) in [(SECOND + 20 * MS, vec![]), (SECOND + 21 * MS, single_violation(Rule::OneOutcome))]
     {
         let mut late = checker(Idempotency::Idempotent);
--- a/model/tests/server.rs
+++ b/model/tests/server.rs
@@ -33,7 +33,7 @@
     while let Some(next) = server.next_event().filter(|next| *next <= until) {
         let mut ended = Vec::new();
         server.advance(next, &mut ended);
-        outcomes.extend(ended.into_iter().map(|(job, end)| (job.id, end, next / MS)));
+        outcomes.extend(ended.into_iter().map(|(job, outcome)| (job.id, outcome, next / MS)));
     }
     server.advance(until, &mut Vec::new());
     outcomes
@@ -48,8 +48,8 @@
     }
     // Four run at half speed until 20 ms, three share two cores for 1.5 ms, and then two have a core each.
     let outcomes = outcomes_until(&mut server, SECOND);
-    let ids: Vec<u64> = outcomes.iter().map(|end| end.0).collect();
-    let times: Vec<u64> = outcomes.iter().map(|end| end.2).collect();
+    let ids: Vec<u64> = outcomes.iter().map(|outcome| outcome.0).collect();
+    let times: Vec<u64> = outcomes.iter().map(|outcome| outcome.2).collect();
     assert_eq!((ids, times), (vec![0, 1, 2, 3], vec![20, 21, 22, 23]));
 }
 
--- a/model/tests/violations.rs
+++ b/model/tests/violations.rs
@@ -102,6 +102,6 @@
         actions.extend(copies);
     });
     for rule in ["never_two_out", "runs_once"] {
-        assert!(rules.iter().any(|broken| broken == rule), "{rule}: {rules:?}");
+        assert!(rules.iter().any(|violated| violated == rule), "{rule}: {rules:?}");
     }
 }
--- a/model/tests/virtual_time.rs
+++ b/model/tests/virtual_time.rs
@@ -137,8 +137,8 @@
     assert_eq!(sizes(&without_fault), sizes(&with_fault));
     assert_ne!(sizes(&without_fault), sizes(&World::sample(&scenario(Vec::new()), 10)));
     assert_eq!(with_fault.faults.len(), 2);
-    let all: f64 = without_fault.load.zone_shares.iter().sum();
-    assert!((all - 1.0).abs() < 1e-9);
+    let total_share: f64 = without_fault.load.zone_shares.iter().sum();
+    assert!((total_share - 1.0).abs() < 1e-9);
 }
 
 #[test]
@@ -156,17 +156,17 @@
     assert_eq!(error_key(&|scenario| scenario.faults = vec![fault(FaultKind::CutLink)]), "fault[0].from");
     let unknown = Fault { target: Some("n9".into()), ..fault(FaultKind::KillNode) };
     assert_eq!(error_key(&|scenario| scenario.faults = vec![unknown.clone()]), "fault[0].who");
-    let strong = Fault { count: Some(1), factor: Some(Range::fixed(7.0)), ..fault(FaultKind::FailServer) };
-    assert_eq!(error_key(&|scenario| scenario.faults = vec![strong.clone()]), "fault[0].factor");
+    let excessive = Fault { count: Some(1), factor: Some(Range::fixed(7.0)), ..fault(FaultKind::FailServer) };
+    assert_eq!(error_key(&|scenario| scenario.faults = vec![excessive.clone()]), "fault[0].factor");
 }
 
 /// Nodes without discovery keep sending to servers that are gone.
 #[test]
 fn nodes_without_discovery_make_more_attempts() {
     let replaced = Fault { share: Some(Range::fixed(0.5)), ..fault(FaultKind::ReplaceServer) };
-    let (at_s, for_s) = (Range::fixed(1.0), None);
+    let (at_s, duration_s) = (Range::fixed(1.0), None);
     let (from, to) = (Some("*".into()), Some("discovery".into()));
-    let cut = Fault { at_s, duration_s: for_s, from, to, ..fault(FaultKind::CutLink) };
+    let cut = Fault { at_s, duration_s, from, to, ..fault(FaultKind::CutLink) };
     let attempts = |faults| run(&scenario(faults), 2).measures()["attempts_per_request"];
     let (connected, disconnected) = (attempts(vec![replaced.clone()]), attempts(vec![replaced, cut]));
     assert!(
@@ -195,7 +195,8 @@
     assert!(added_ms > 30.0, "{added_ms} ms added");
     let reset = run(&scenario_with_fault_on_all_links(FaultKind::ResetLink, 0.9), 4);
     assert_eq!(violated(&reset), Vec::<&RuleReport>::new());
-    let served_in_time = |figures: &std::collections::BTreeMap<String, f64>| figures["served_in_time_share"];
+    let served_in_time =
+        |measures: &std::collections::BTreeMap<String, f64>| measures["served_in_time_share"];
     assert!(
         served_in_time(&reset.measures()) < served_in_time(&baseline) - 0.005,
         "{baseline:?} {:?}",
