--- a/fleet/src/call.rs
+++ b/fleet/src/call.rs
@@ -115,8 +115,8 @@
         self.address
     }
 
-    /// Sends a request and reads its response. The request is sent at most once: a connection that the server has closed
-    /// is replaced before the request is written.
+    /// Sends a request and reads its response. The request is sent at most once: a connection that the server has
+    /// closed is replaced before the request is written.
     pub async fn call(&mut self, call: &Call) -> Result<Response, CallError> {
         // Moved out of `self`, so that dropping this future closes the connection.
         let sender = self.sender.take().filter(|sender| !sender.is_closed());
--- a/registry/src/http.rs
+++ b/registry/src/http.rs
@@ -235,8 +235,8 @@
     instances(State(replica), RawQuery(query)).await.into_response()
 }
 
-/// Returns the list or its changes, waiting for a change if requested. The response is never older than the revision that
-/// the client has seen.
+/// Returns the list or its changes, waiting for a change if requested. The response is never older than the revision
+/// that the client has seen.
 async fn instances(State(replica): ReplicaState, RawQuery(query): RawQuery) -> Result<Response, ApiError> {
     let watch = WatchQuery::read(query.as_deref().unwrap_or_default())?;
     let started_at = Instant::now();
--- a/registry/src/leases.rs
+++ b/registry/src/leases.rs
@@ -16,9 +16,11 @@
 pub struct LeasePolicy {
     /// Duration of a lease since its last renewal.
     pub lease: Nanos,
-    /// When more than this share of a zone's leases expire within the duration of a lease, the instances become suspects.
+    /// When more than this share of a zone's leases expire within the duration of a lease, the instances become
+    /// suspects.
     pub believed_share: f64,
-    /// Number of expired leases in a zone up to which the instances are removed regardless of the share, for small zones.
+    /// Number of expired leases in a zone up to which the instances are removed regardless of the share, for small
+    /// zones.
     pub believed_count: usize,
     /// Time after which suspects that have not renewed are removed.
     pub hold: Nanos,
@@ -116,8 +118,8 @@
     /// Checks for expired leases and returns the commands to be replicated. Must be called several times within the
     /// duration of a lease.
     ///
-    /// If the last check was half a lease or more ago, the leader itself was paused and may have missed renewals. Then all
-    /// leases are extended to their full duration.
+    /// If the last check was half a lease or more ago, the leader itself was paused and may have missed renewals. Then
+    /// all leases are extended to their full duration.
     pub fn expire(&mut self, list: &List, now: Nanos) -> Vec<Command> {
         let paused = now.saturating_sub(self.last_check) >= self.policy.lease / 2;
         self.last_check = self.last_check.max(now);
--- a/registry/src/list.rs
+++ b/registry/src/list.rs
@@ -72,7 +72,8 @@
 /// A command of the replicated log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Registers an instance, or registers it again. A later start time under the same name replaces the earlier process.
+    /// Registers an instance, or registers it again. A later start time under the same name replaces the earlier
+    /// process.
     Register(Instance),
     /// Starts draining the instance with this name and start time.
     Drain {
@@ -244,8 +245,8 @@
         }
     }
 
-    /// Returns the update for a watcher at revision `from`, or `None` if that is the current one. The update is the full
-    /// list if `from` is unknown to this list or older than the history.
+    /// Returns the update for a watcher at revision `from`, or `None` if that is the current one. The update is the
+    /// full list if `from` is unknown to this list or older than the history.
     pub fn changes_since(&self, from: Rev) -> Option<ListUpdate> {
         if from == self.rev {
             return None;
@@ -271,16 +272,16 @@
         ListUpdate { rev: self.rev, all: true, lines: self.lines.values().cloned().collect() }
     }
 
-    /// Returns the list as a new incarnation, whose revision is greater than `seen`, the newest that any client is known
-    /// to have.
+    /// Returns the list as a new incarnation, whose revision is greater than `seen`, the newest that any client is
+    /// known to have.
     pub fn restored(mut self, seen: Rev) -> Self {
         self.start_incarnation(seen);
         self
     }
 
     fn start_incarnation(&mut self, past: Rev) -> Rev {
-        // Also derived from the time, so that it is new even if the previous incarnation is unknown, as in a restore into
-        // empty stores.
+        // Also derived from the time, so that it is new even if the previous incarnation is unknown, as in a restore
+        // into empty stores.
         self.incarnation = (self.incarnation + 1).max(past >> 32);
         self.rev = self.rev.max(past) + 1;
         self.history.clear();
--- a/registry/src/peers.rs
+++ b/registry/src/peers.rs
@@ -1,6 +1,6 @@
 //! Communication between replicas: Raft messages and other calls, as JSON over HTTP. Each call names the fleet and may
-//! name the replica, so that a replica of another fleet, or one that has lost its store, rejects calls that are not meant
-//! for it.
+//! name the replica, so that a replica of another fleet, or one that has lost its store, rejects calls that are not
+//! meant for it.
 
 use std::collections::{BTreeMap, HashMap};
 use std::error::Error;
@@ -68,7 +68,8 @@
         Self { fleet: fleet.to_owned(), via: Arc::new(via), idle: Arc::default(), suspended: Arc::default() }
     }
 
-    /// Suspends or resumes the messages of a leader. While they are suspended, the other replicas can elect another leader.
+    /// Suspends or resumes the messages of a leader. While they are suspended, the other replicas can elect another
+    /// leader.
     pub fn set_suspended(&self, suspended: bool) {
         self.suspended.store(suspended, Ordering::Relaxed);
     }
@@ -119,8 +120,8 @@
 }
 
 impl PeerClient {
-    /// Sends an RPC and returns its response. `RemoteErr` is the error type of the remote replica, `RpcErr` that of this
-    /// RPC in openraft.
+    /// Sends an RPC and returns its response. `RemoteErr` is the error type of the remote replica, `RpcErr` that of
+    /// this RPC in openraft.
     async fn send<Req, Resp, RemoteErr, RpcErr>(
         &self,
         path: &str,
--- a/registry/src/raft.rs
+++ b/registry/src/raft.rs
@@ -8,8 +8,8 @@
 use crate::list::{Command, ListError, Rev};
 use crate::state_machine::RegistryState;
 
-/// The ID of a replica. It is drawn at random when the store is created, so a replica that has lost its store gets a new
-/// ID and cannot vote a second time in a term under the old one.
+/// The ID of a replica. It is drawn at random when the store is created, so a replica that has lost its store gets a
+/// new ID and cannot vote a second time in a term under the old one.
 pub type ReplicaId = u64;
 
 /// The addresses of a replica.
--- a/registry/src/replica/membership.rs
+++ b/registry/src/replica/membership.rs
@@ -104,8 +104,8 @@
         self.change_membership(ChangeMembers::ReplaceAllVoters(voters)).await
     }
 
-    /// Transfers leadership to another replica. Stops sending heartbeats until the leader's lease has expired, then makes
-    /// the target start an election.
+    /// Transfers leadership to another replica. Stops sending heartbeats until the leader's lease has expired, then
+    /// makes the target start an election.
     pub(super) async fn transfer_leadership(&self, peer: SocketAddr) -> Result<Value, ApiError> {
         let target = self.replica_at(peer)?;
         if target == self.id {
--- a/registry/src/replica/mod.rs
+++ b/registry/src/replica/mod.rs
@@ -354,8 +354,8 @@
             .then_some(metrics.current_term)
     }
 
-    /// Executes an operation if this replica is the leader, and forwards it to the leader otherwise. An operation that was
-    /// `forwarded` already is not forwarded again.
+    /// Executes an operation if this replica is the leader, and forwards it to the leader otherwise. An operation that
+    /// was `forwarded` already is not forwarded again.
     pub async fn dispatch(&self, operation: Operation, forwarded: bool) -> Result<Value, ApiError> {
         let result = match self.leader() {
             Some((leader, _)) if leader == self.id => self.execute(operation).await,
--- a/registry/src/settings.rs
+++ b/registry/src/settings.rs
@@ -33,7 +33,8 @@
     pub data: PathBuf,
     /// Duration of a lease since its last renewal.
     pub lease_ms: u64,
-    /// When more than this share of a zone's leases expire within the duration of a lease, the instances become suspects.
+    /// When more than this share of a zone's leases expire within the duration of a lease, the instances become
+    /// suspects.
     pub believed_share: f64,
     /// Number of expired leases in a zone up to which the instances are removed regardless of the share.
     pub believed_count: usize,
@@ -71,8 +72,8 @@
             believed_share: policy.believed_share,
             believed_count: policy.believed_count,
             hold_s: policy.hold / 1_000_000_000,
-            // Failover takes up to 1 s: the lease of the former leader (twice `election_ms`), the election timeout (once to
-            // twice `election_ms`) and the tick interval (1.5 heartbeats).
+            // Failover takes up to 1 s: the lease of the former leader (twice `election_ms`), the election timeout
+            // (once to twice `election_ms`) and the tick interval (1.5 heartbeats).
             heartbeat_ms: 100,
             election_ms: 250,
             snapshot_every: 2000,
--- a/registry/src/state_machine.rs
+++ b/registry/src/state_machine.rs
@@ -1,5 +1,5 @@
-//! The replicated state machine: the instance list and the log position up to which it is applied. Watchers are notified
-//! of each new revision.
+//! The replicated state machine: the instance list and the log position up to which it is applied. Watchers are
+//! notified of each new revision.
 
 use std::sync::{Arc, PoisonError, RwLock, RwLockReadGuard};
 
