--- a/rig/src/adapter.rs
+++ b/rig/src/adapter.rs
@@ -1,6 +1,6 @@
 //! Runs another build's balancers in virtual time through an adapter process, one per zone, that speaks the
-//! simulator's JSON-lines protocol on stdin and stdout. Events of one point in time are sent as a batch; the reply holds
-//! the actions.
+//! simulator's JSON-lines protocol on stdin and stdout. Events of one point in time are sent as a batch; the reply
+//! holds the actions.
 
 use std::fmt::Write as _;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -57,8 +57,8 @@
 }
 
 fn parse_id(fields: &Value, key: &str, prefix: &str) -> Result<u64, String> {
-    let text = fields[key].as_str().and_then(|text| text.strip_prefix(prefix)?.parse().ok());
-    text.ok_or_else(|| format!("unknown {key} in a message of the adapter: {fields}"))
+    let id = fields[key].as_str().and_then(|id| id.strip_prefix(prefix)?.parse().ok());
+    id.ok_or_else(|| format!("unknown {key} in a message of the adapter: {fields}"))
 }
 
 impl Adapter {
@@ -114,24 +114,24 @@
     }
 
     fn read_reply(&mut self, actions: &mut Vec<(usize, Action)>) -> Result<(), String> {
-        let mut text = String::new();
+        let mut line = String::new();
         for _ in 0..MAX_REPLY_LINES {
-            text.clear();
-            let read = (&mut self.stdout).take(MAX_LINE_BYTES).read_line(&mut text);
+            line.clear();
+            let read = (&mut self.stdout).take(MAX_LINE_BYTES).read_line(&mut line);
             if read.map_err(|error| error.to_string())? == 0 {
                 return Err("the adapter closed its standard output during a run".to_owned());
             }
-            let value: Value = serde_json::from_str(&text)
+            let value: Value = serde_json::from_str(&line)
                 .map_err(|error| format!("invalid JSON from the adapter: {error}"))?;
             let Some((tag, fields)) = value.as_object().and_then(|object| object.iter().next()) else {
-                return Err(format!("the adapter sent a line that is not a message: {text}"));
+                return Err(format!("the adapter sent a line that is not a message: {line}"));
             };
             if tag == "YIELD" {
                 return Ok(());
             }
             let who = fields["who"]
                 .as_u64()
-                .ok_or_else(|| format!("field who missing in the adapter's message: {text}"))?
+                .ok_or_else(|| format!("field who missing in the adapter's message: {line}"))?
                 as usize;
             let integer = |key: &str| fields[key].as_u64().unwrap_or(0);
             let request = || parse_id(fields, "request-id", "rq_").map(RequestId);
@@ -222,9 +222,9 @@
 
     fn flush(&mut self, now: Nanos, actions: &mut Vec<(usize, Action)>) -> Result<(), String> {
         let batch = std::mem::take(&mut self.batch);
-        let text = format!("{}\n{batch}{}\n", json!({"BATCH": {"sim-time-ns": now}}), json!({"GO": {}}));
+        let input = format!("{}\n{batch}{}\n", json!({"BATCH": {"sim-time-ns": now}}), json!({"GO": {}}));
         let stdin = self.stdin.as_mut().ok_or("the adapter has no standard input")?;
-        let sent = stdin.write_all(text.as_bytes()).and_then(|()| stdin.flush());
+        let sent = stdin.write_all(input.as_bytes()).and_then(|()| stdin.flush());
         sent.map_err(|error| format!("cannot write to the adapter: {error}"))?;
         self.read_reply(actions)
     }
--- a/rig/src/compare.rs
+++ b/rig/src/compare.rs
@@ -1,8 +1,8 @@
 //! Statistical comparison of two runs.
 //!
-//! Uses a moving-block bootstrap (Künsch 1989) over the seconds of the runs, because consecutive seconds are correlated.
-//! Runs with the same scenario and seed are resampled in pairs of the same seconds, other runs independently. The
-//! confidence is the share of resampled differences with the same sign as the observed difference.
+//! Uses a moving-block bootstrap (Künsch 1989) over the seconds of the runs, because consecutive seconds are
+//! correlated. Runs with the same scenario and seed are resampled in pairs of the same seconds, other runs
+//! independently. The confidence is the share of resampled differences with the same sign as the observed difference.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha12Rng;
--- a/rig/src/experiment.rs
+++ b/rig/src/experiment.rs
@@ -39,7 +39,8 @@
     /// The run is inconclusive if the 99th percentile of the rig's own lateness is above this, in milliseconds.
     #[serde(rename = "lateness_ms")]
     pub max_lateness_ms: f64,
-    /// Tolerance of the rules on sockets, in milliseconds: how far observations of two components of the rig may differ.
+    /// Tolerance of the rules on sockets, in milliseconds: how far observations of two components of the rig may
+    /// differ.
     #[serde(rename = "slack_ms")]
     pub tolerance_ms: f64,
     /// How long a node may take to become ready.
--- a/rig/src/listener.rs
+++ b/rig/src/listener.rs
@@ -7,7 +7,7 @@
 use rustix::net::Shutdown;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-const BACKLOG: i32 = 1024;
+const ACCEPT_BACKLOG: i32 = 1024;
 /// Maximum number of connections opened to fill the accept queue of a silent listener.
 const QUEUE_FILLERS: usize = 3;
 /// Another process may take a free port between the call that finds it and the call that binds it.
@@ -70,7 +70,7 @@
 impl SwitchableListener {
     /// Listens on a free loopback port.
     pub fn bind() -> io::Result<Self> {
-        let listener = bind_reserved(|socket| socket.listen(BACKLOG as u32))?;
+        let listener = bind_reserved(|socket| socket.listen(ACCEPT_BACKLOG as u32))?;
         Ok(Self {
             address: listener.local_addr()?,
             listener: Some(listener),
@@ -104,7 +104,7 @@
         self.queue_fillers.clear();
         let Some(listener) = self.listener.take() else { return Err(io::ErrorKind::NotConnected.into()) };
         let listener = listener.into_std()?;
-        rustix::net::listen(&listener, BACKLOG)?;
+        rustix::net::listen(&listener, ACCEPT_BACKLOG)?;
         // The runtime keeps the readiness of a socket that was shut down and would poll it in a busy loop, so the
         // socket is registered anew.
         self.listener = Some(TcpListener::from_std(listener)?);
--- a/rig/src/listener/tests.rs
+++ b/rig/src/listener/tests.rs
@@ -15,7 +15,10 @@
         open.push(connect(address).await.expect("connect within the timeout").expect("connect"));
         listener.accept().await.expect("accept");
         listener.refuse().expect("refuse connections");
-        assert!(connect(address).await.expect("immediate answer").is_err(), "connection should be refused");
+        assert!(
+            connect(address).await.expect("connect within the timeout").is_err(),
+            "connection should be refused"
+        );
         listener.reopen().expect("reopen");
         open.push(connect(address).await.expect("connect within the timeout").expect("connect"));
         tokio::time::timeout(Duration::from_secs(10), listener.accept())
@@ -40,7 +43,7 @@
     let listener = SwitchableListener::bind_refusing().expect("bind");
     let other = TcpSocket::new_v4().expect("socket");
     assert!(other.bind(listener.address()).is_err());
-    assert!(connect(listener.address()).await.expect("immediate answer").is_err());
+    assert!(connect(listener.address()).await.expect("connect within the timeout").is_err());
 }
 
 #[tokio::test]
--- a/rig/src/load_generator.rs
+++ b/rig/src/load_generator.rs
@@ -26,7 +26,7 @@
 
 use crate::shared::{RequestInfo, Shared, lock};
 
-/// Grace period after the deadline of a request; without a response by then, the request counts as unanswered.
+/// Grace period after the deadline of a request; a response that is still missing then violates a rule.
 pub const ANSWER_SLACK: Nanos = SECOND / 2;
 /// Maximum number of requests in flight, which bounds the memory of the rig.
 const MAX_IN_FLIGHT: usize = 50_000;
@@ -38,7 +38,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long the servers' information about a request is kept after its client has given up.
 const REQUEST_INFO_RETENTION: Nanos = 10 * SECOND;
-/// A node must answer an improper peer with an error or a close within this time.
+/// A node must send an improper peer an error or close its connection within this time.
 const IMPROPER_PEER_TIMEOUT: Duration = Duration::from_millis(3500);
 
 type NodeConnection = SendRequest<Full<Bytes>>;
@@ -50,9 +50,9 @@
     pub address: Mutex<Option<SocketAddr>>,
     /// Whether the frontend sends connections to it.
     pub in_rotation: AtomicBool,
-    /// Number of kills and pauses; the node owes no answer to requests that were in flight then.
+    /// Number of kills and pauses; the node owes no response to requests that were in flight then.
     pub disruptions: AtomicU64,
-    /// Whether the node is paused; it owes no answers meanwhile.
+    /// Whether the node is paused; it owes no responses meanwhile.
     pub paused: AtomicBool,
 }
 
@@ -206,14 +206,14 @@
         let result = timeout(time_left, self.call_node(node, request, id, not_after))
             .await
             .unwrap_or(CallResult::Timeout);
-        let answered_at = shared.clock.now();
+        let ended_at = shared.clock.now();
         let excused = disruptions() != disruptions_before || self.nodes[node].paused.load(Ordering::Relaxed);
         let mut tracker = lock(&shared.tracker);
         if excused || matches!(result, CallResult::Unreachable) {
             // No node accepted it, or the node was killed or paused by the rig.
             tracker.invariants.excuse(id);
         }
-        let (final_answer, try_outcome) = match result {
+        let (final_response, try_outcome) = match result {
             CallResult::Response(StatusCode::OK, _) => (Some(FinalResponse::Served), TryOutcome::Served),
             CallResult::Response(
                 StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS,
@@ -225,12 +225,12 @@
         };
         // The request info is kept for a while: a paused node or a cut link may deliver the request after its client
         // has given up.
-        match final_answer {
-            Some(final_answer) => tracker.invariants.response_received(id, final_answer, answered_at),
-            None => tracker.invariants.request_expired(id, answered_at),
+        match final_response {
+            Some(final_response) => tracker.invariants.response_received(id, final_response, ended_at),
+            None => tracker.invariants.request_expired(id, ended_at),
         }
         // The client has given up by then.
-        if try_outcome == TryOutcome::Served && answered_at > not_after {
+        if try_outcome == TryOutcome::Served && ended_at > not_after {
             TryOutcome::Failed
         } else {
             try_outcome
@@ -267,7 +267,8 @@
                         return CallResult::Error;
                     }
                     let retry_after = head.headers.get("retry-after").and_then(|value| value.to_str().ok());
-                    let retry_after = retry_after.and_then(|text| text.parse::<f64>().ok()).unwrap_or(0.0);
+                    let retry_after =
+                        retry_after.and_then(|seconds| seconds.parse::<f64>().ok()).unwrap_or(0.0);
                     let mut idle = lock(&self.idle[node]);
                     if idle.len() < MAX_IDLE_PER_NODE {
                         idle.push((connection, self.shared.clock.now()));
--- a/rig/src/registrar.rs
+++ b/rig/src/registrar.rs
@@ -273,12 +273,12 @@
         loop {
             renewals.tick().await;
             let uids = lock(&self.log.acknowledged).clone();
-            let lives: Vec<Value> = uids.iter().map(|uid| json!({"uid": uid, "boot_ms": boot_ms})).collect();
-            if lives.is_empty() {
+            let keys: Vec<Value> = uids.iter().map(|uid| json!({"uid": uid, "boot_ms": boot_ms})).collect();
+            if keys.is_empty() {
                 continue;
             }
-            let count = lives.len() as u64;
-            match client.post("/registry/renew", &json!({ "lives": lives })).await {
+            let count = keys.len() as u64;
+            match client.post("/registry/renew", &json!({ "lives": keys })).await {
                 Ok(_) => self.log.add(&self.log.renewals, count),
                 Err(_) => self.log.add(&self.log.failed_renewals, count),
             }
--- a/rig/src/registry.rs
+++ b/rig/src/registry.rs
@@ -1,5 +1,5 @@
-//! The registry in a run of an experiment: its replicas, the instances that register, the clients that watch, its faults
-//! and its measurements.
+//! The registry in a run of an experiment: its replicas, the instances that register, the clients that watch, its
+//! faults and its measurements.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -88,7 +88,7 @@
         has_link_fault: impl Fn(LinkEnd, LinkEnd) -> bool,
     ) -> std::io::Result<Arc<Self>> {
         let replicas_have_link_fault =
-            |one, other| has_link_fault(LinkEnd::Replica(one), LinkEnd::Replica(other));
+            |first, second| has_link_fault(LinkEnd::Replica(first), LinkEnd::Replica(second));
         let replicas =
             Replicas::prepare(binary, launch, shared.clone(), settings, folder, replicas_have_link_fault)?;
         let addresses: Vec<SocketAddr> = replicas.all.iter().map(|replica| replica.client_address).collect();
@@ -181,9 +181,9 @@
         let mut open = 0;
         for (number, &watches) in (1..).zip(&self.settings.watcher_steps) {
             while open < watches as usize {
-                let more = WATCH_BATCH.min(watches as usize - open);
-                (0..more).for_each(|_| self.load_watchers.add(0));
-                open += more;
+                let batch = WATCH_BATCH.min(watches as usize - open);
+                (0..batch).for_each(|_| self.load_watchers.add(0));
+                open += batch;
                 while self.load_watchers.ready_count() < open {
                     sleep(Duration::from_millis(5)).await;
                 }
@@ -245,11 +245,11 @@
         let unaffected =
             |index: &usize| !lock(&self.active_faults).iter().any(|(_, affected)| affected == index);
         loop {
-            let found = match target {
+            let candidate = match target {
                 Some(index) => Some(index),
                 None => self.replicas.leader().await,
             };
-            if let Some(index) = found.filter(unaffected) {
+            if let Some(index) = candidate.filter(unaffected) {
                 return Some(index);
             }
             if started_at.elapsed() > TARGET_TIMEOUT {
@@ -285,44 +285,44 @@
         self.watchers.check_final_lists().await;
         let (first, memory_kib) = *lock(&self.baseline);
         let mut measures = BTreeMap::new();
-        let mut put = |name: &str, value: f64| {
+        let mut insert = |name: &str, value: f64| {
             measures.insert(format!("registry_{name}"), value);
         };
         let seconds = (last.at - first.at) as f64 / SECOND as f64;
         let registrations = &self.registrar.log;
         let read = |counter: &AtomicU64| counter.load(Ordering::Relaxed) as f64;
-        put("writes", lock(&registrations.acknowledged).len() as f64);
-        put("write_gap_ms_max", read(&registrations.max_write_gap) / 1e6);
+        insert("writes", lock(&registrations.acknowledged).len() as f64);
+        insert("write_gap_ms_max", read(&registrations.max_write_gap) / 1e6);
         if let Some(latency) =
             lock(&registrations.write_latency_us).as_ref().filter(|latency| !latency.is_empty())
         {
-            put("write_ms_p50", latency.value_at_quantile(0.5) as f64 / 1000.0);
-            put("write_ms_p99", latency.value_at_quantile(0.99) as f64 / 1000.0);
+            insert("write_ms_p50", latency.value_at_quantile(0.5) as f64 / 1000.0);
+            insert("write_ms_p99", latency.value_at_quantile(0.99) as f64 / 1000.0);
         }
-        put("renewals_missed", read(&registrations.failed_renewals));
+        insert("renewals_missed", read(&registrations.failed_renewals));
         // The counters of a restarted replica begin at 0, so the differences would be wrong.
         if !self.restarted.load(Ordering::Relaxed) {
-            put("renewals_per_s", (last.renewals - first.renewals) / seconds);
-            put("log_entries_per_s", (last.log_entries - first.log_entries) / seconds);
-            put("confirmations_per_s", (last.confirmations - first.confirmations) / seconds);
-            put("cpu_ms_per_s", (last.cpu_ticks - first.cpu_ticks) as f64 * 10.0 / seconds);
+            insert("renewals_per_s", (last.renewals - first.renewals) / seconds);
+            insert("log_entries_per_s", (last.log_entries - first.log_entries) / seconds);
+            insert("confirmations_per_s", (last.confirmations - first.confirmations) / seconds);
+            insert("cpu_ms_per_s", (last.cpu_ticks - first.cpu_ticks) as f64 * 10.0 / seconds);
         }
         let stats = self.watchers.stats(first.at, last.at);
-        put("watch_silent_ms_max", stats.max_silence_ms);
+        insert("watch_silent_ms_max", stats.max_silence_ms);
         if let Some(p99) = stats.propagation_quantile_ms(0.99) {
-            put("heard_ms_p99", p99);
+            insert("heard_ms_p99", p99);
         }
         for step in lock(&self.watch_steps).iter() {
             let stats = self.load_watchers.stats(step.from, step.to.saturating_sub(SECOND));
             let watches = step.watches;
-            put(&format!("crowd_heard.{watches}"), stats.propagation_ms.len() as f64);
+            insert(&format!("crowd_heard.{watches}"), stats.propagation_ms.len() as f64);
             for (name, quantile) in [("p50", 0.5), ("p99", 0.99)] {
                 if let Some(ms) = stats.propagation_quantile_ms(quantile) {
-                    put(&format!("crowd_heard_ms_{name}.{watches}"), ms);
+                    insert(&format!("crowd_heard_ms_{name}.{watches}"), ms);
                 }
             }
             let added_kib = step.memory_kib.saturating_sub(memory_kib) as f64;
-            put(&format!("kib_per_watch.{watches}"), added_kib / f64::from(watches));
+            insert(&format!("kib_per_watch.{watches}"), added_kib / f64::from(watches));
         }
         measures
     }
--- a/rig/src/servers.rs
+++ b/rig/src/servers.rs
@@ -149,10 +149,10 @@
     /// Makes the host unreachable or reachable again; connections from before are reset when it comes back.
     pub fn set_unreachable(&self, unreachable: bool) {
         let change = |host_state: &mut HostState| {
-            let wanted = if unreachable { HostState::Unreachable } else { HostState::Up };
-            let changed = *host_state != HostState::Down && *host_state != wanted;
+            let new_state = if unreachable { HostState::Unreachable } else { HostState::Up };
+            let changed = *host_state != HostState::Down && *host_state != new_state;
             if changed {
-                *host_state = wanted;
+                *host_state = new_state;
             }
             changed
         };
@@ -220,7 +220,7 @@
                         let (server, cause) = (self.uid(), error.to_string());
                         self.shared.record_event("rig-trouble", json!({"server": server, "cause": cause}));
                     }
-                    // Connections of an unreachable host stay open without answers until it comes back.
+                    // Connections of an unreachable host stay open without responses until it comes back.
                     if next == HostState::Down || host_state == HostState::Unreachable {
                         connections.abort_all();
                     }
@@ -349,7 +349,7 @@
             };
             match key {
                 _ if admission != Admission::Accepted => {}
-                // The group has run or is running the request already: it is answered without running again.
+                // The group has run or is running the request already: it gets a response without running again.
                 _ if is_duplicate => drop(sender.send(JobOutcome::Served)),
                 Some((key, window)) => {
                     tracker.dedup.insert(key, (self.instance, job), window, now);
--- a/rig/src/sockets.rs
+++ b/rig/src/sockets.rs
@@ -281,9 +281,9 @@
     });
     if let Some(registry) = &run.registry {
         let ready_timeout = Duration::from_secs_f64(experiment.run.ready_timeout_s);
-        if let Err(problem) = registry.start(&run.servers, ready_timeout).await {
+        if let Err(error) = registry.start(&run.servers, ready_timeout).await {
             registry.stop().await;
-            return Err(RunError::Registry(problem));
+            return Err(RunError::Registry(error));
         }
     }
     if let Err(error) = run.start_all().await {
@@ -307,10 +307,10 @@
     // The logs are kept.
     let _ = std::fs::remove_dir_all(&configs);
     let ticks: u64 = run.cpu.iter().map(|cpu| cpu.load(Ordering::Relaxed)).sum();
-    let [peers, unanswered] = &run.load_generator.improper_peers;
+    let [peers, left_waiting] = &run.load_generator.improper_peers;
     Ok(SocketRunResult {
         requests_dropped: run.load_generator.requests_dropped.load(Ordering::Relaxed),
-        improper_peers: (peers.load(Ordering::Relaxed), unanswered.load(Ordering::Relaxed)),
+        improper_peers: (peers.load(Ordering::Relaxed), left_waiting.load(Ordering::Relaxed)),
         peak_usage: (run.max_memory_kib.load(Ordering::Relaxed), run.max_descriptors.load(Ordering::Relaxed)),
         node_cpu_ms: ticks as f64 * MS_PER_CLOCK_TICK,
         load_duration_s,
@@ -421,8 +421,8 @@
         if let Some(registry) = &self.registry {
             registry.stop().await;
         }
-        let left: Vec<u32> = self.nodes.iter().filter_map(|node| node.pid()).collect();
-        for pid in left {
+        let running_pids: Vec<u32> = self.nodes.iter().filter_map(|node| node.pid()).collect();
+        for pid in running_pids {
             let detail = "still running after the run".to_owned();
             self.shared.record_violation(Rule::ProcessesEnded, pid.to_string(), detail);
         }
@@ -467,9 +467,9 @@
     }
 
     fn check_process(&self, node: &NodeProcess) {
-        if let Some(how) = node.reap() {
+        if let Some(exit) = node.reap() {
             self.load_generator.nodes[node.index].in_rotation.store(false, Ordering::Relaxed);
-            self.shared.record_violation(Rule::ProcessesEnded, node.name.clone(), how);
+            self.shared.record_violation(Rule::ProcessesEnded, node.name.clone(), exit);
             return;
         }
         let Some(usage) = node.resource_usage() else { return };
@@ -544,7 +544,7 @@
             schedule.extend(fault.until.map(|until| (until, index, false)));
         }
         for (index, instance) in timeline.instances.iter().enumerate() {
-            // Instances that replace others.
+            // The instance replaces another one.
             if instance.starts_at > 0 {
                 schedule.push((instance.starts_at, usize::MAX - index, true));
             }
@@ -663,10 +663,10 @@
             FaultAction::MoveDiscovery if begins => {
                 for (agent, node) in self.agents.iter().zip(&self.nodes) {
                     let moved = agent.relocate().map_err(|error| error.to_string());
-                    let done = moved.and_then(|()| {
+                    let result = moved.and_then(|()| {
                         node.set_discovery(agent.address()).map_err(|error| error.to_string())
                     });
-                    if let Err(cause) = done {
+                    if let Err(cause) = result {
                         self.shared.record_event("rig-trouble", json!({"node": node.name, "cause": cause}));
                     }
                 }
