--- a/model/src/world.rs
+++ b/model/src/world.rs
@@ -444,7 +444,7 @@
     }
 
     fn schedule_fault(&self, fault: &Fault, rng: &mut impl Rng) -> Vec<ScheduledFault> {
-        let at = sample_range(rng, fault.at_s);
+        let at_s = sample_range(rng, fault.at_s);
         let duration = fault.duration_s.map(|duration| sample_range(rng, duration));
         let factor = fault.factor.map_or(0.0, |factor| sample_range(rng, factor));
         let interval = fault.interval_s.map_or(0.0, |interval| sample_range(rng, interval));
@@ -468,7 +468,7 @@
         };
         let for_each_target =
             |targets: Vec<usize>, act: &dyn Fn(usize) -> FaultAction| -> Vec<ScheduledFault> {
-                let start = |n: usize| seconds(at + interval * n as f64);
+                let start = |n: usize| seconds(at_s + interval * n as f64);
                 let scheduled = |(n, target): (usize, usize)| ScheduledFault {
                     at: start(n),
                     until: duration.map(|duration| start(n) + seconds(duration)),
@@ -478,8 +478,8 @@
             };
         let single_fault = |action: FaultAction| {
             vec![ScheduledFault {
-                at: seconds(at),
-                until: duration.map(|duration| seconds(at + duration)),
+                at: seconds(at_s),
+                until: duration.map(|duration| seconds(at_s + duration)),
                 action,
             }]
         };
--- a/rig/src/shared.rs
+++ b/rig/src/shared.rs
@@ -116,8 +116,8 @@
     /// Records an event at the current time.
     pub fn record_event(&self, kind: &str, mut fields: Value) {
         // Events before the start of the load have time 0.
-        let at = if *self.load_started.borrow() { self.run_time_ms(self.clock.now()) } else { 0.0 };
-        fields["at_ms"] = json!((at * 10.0).round() / 10.0);
+        let at_ms = if *self.load_started.borrow() { self.run_time_ms(self.clock.now()) } else { 0.0 };
+        fields["at_ms"] = json!((at_ms * 10.0).round() / 10.0);
         fields["kind"] = json!(kind);
         tracing::debug!(kind, fields = %fields, "event");
         let mut events = lock(&self.events);
--- a/rig/src/sockets.rs
+++ b/rig/src/sockets.rs
@@ -187,7 +187,7 @@
     let (mut agents, mut discovery) = (Vec::new(), Vec::new());
     for node in 0..shared.world.nodes.len() {
         let mut endpoints = server_addresses.clone();
-        for &(_, instance) in faulted_links.iter().filter(|(end, _)| *end == node) {
+        for &(_, instance) in faulted_links.iter().filter(|(link_node, _)| *link_node == node) {
             let info = shared.timeline().instances[instance];
             let from = (LinkEnd::Node(node), shared.world.nodes[node].zone);
             let to = (LinkEnd::Server(info.server), info.zone);
