--- a/cli/tests/registry/main.rs
+++ b/cli/tests/registry/main.rs
@@ -385,7 +385,7 @@
     assert!(added.1.contains("3 replicas"), "{added:?}");
     let unreachable = spare.replicas[0].peer.to_string();
     let (success, text) = flaxdale(&cluster, &["add", &unreachable]);
-    assert!(!success && text.contains("can't be reached"), "{text}");
+    assert!(!success && text.contains("cannot be reached"), "{text}");
     cluster.wait_ready().await;
     check_consistency(&cluster, writer, watchers).await;
 }
--- a/registry/src/replica/forward.rs
+++ b/registry/src/replica/forward.rs
@@ -102,7 +102,7 @@
         let response = match response {
             Ok(response) => response,
             Err(CallError::Connect(error)) => {
-                return Err(ApiError::unavailable(format!("replica {peer} can't be reached: {error}")));
+                return Err(ApiError::unavailable(format!("replica {peer} cannot be reached: {error}")));
             }
             Err(error) => return Err(ApiError::outcome_unknown(&format!("replica {peer}: {error}"))),
         };
