--- a/model/src/shard/driver.rs
+++ b/model/src/shard/driver.rs
@@ -260,9 +260,9 @@
             return;
         }
         let (instance, request_written) = (current.instance, current.request_written);
-        // Attempts that have not connected for longer than this count as unresponsive, which closes them in
-        // `settle`.
-        if request_written || self.now.saturating_sub(current.sent_at) < UNRESPONSIVE_AFTER {
+        // A server that has not accepted the connection after this time counts as unreachable; `end_attempt`
+        // then closes the attempt.
+        if request_written || self.now.saturating_sub(current.sent_at) < UNREACHABLE_AFTER {
             let zone = self.shared.timeline.instances[instance as usize].zone;
             let delay = self.delay_to(zone);
             let job = job_id(self.zone, id, attempt as usize);
@@ -286,9 +286,9 @@
         if !current.in_flight || (connect_only && current.request_written) {
             return;
         }
-        let unresponsive =
-            !current.request_written && self.now.saturating_sub(current.sent_at) >= UNRESPONSIVE_AFTER;
-        let outcome = match (unresponsive, current.request_written) {
+        let unreachable =
+            !current.request_written && self.now.saturating_sub(current.sent_at) >= UNREACHABLE_AFTER;
+        let outcome = match (unreachable, current.request_written) {
             (true, _) => Outcome::ConnectFailed,
             (false, false) => Outcome::Moot,
             (false, true) => Outcome::TimedOut,
@@ -349,7 +349,7 @@
         let outcome =
             if current.request_written || outcome != Outcome::Cancelled { outcome } else { Outcome::Moot };
         let closes_connection = matches!(outcome, Outcome::TimedOut | Outcome::Cancelled | Outcome::Moot)
-            || (outcome == Outcome::ConnectFailed && now.saturating_sub(sent_at) >= UNRESPONSIVE_AFTER);
+            || (outcome == Outcome::ConnectFailed && now.saturating_sub(sent_at) >= UNREACHABLE_AFTER);
         if let Some(checker_index) = checker_index {
             self.invariants.attempt_ended(id, checker_index, outcome.may_have_run(), now);
         }
--- a/model/src/shard/mod.rs
+++ b/model/src/shard/mod.rs
@@ -39,8 +39,8 @@
 const IDLE_TIMEOUT: Nanos = 7 * SECOND;
 /// Connecting fails after this time.
 const CONNECT_TIMEOUT: Nanos = 200 * MS;
-/// A server that has not accepted a connection after this time counts as unresponsive.
-const UNRESPONSIVE_AFTER: Nanos = 40 * MS;
+/// A server that has not accepted a connection after this time counts as unreachable.
+const UNREACHABLE_AFTER: Nanos = 40 * MS;
 /// Size of a request or response in bytes, for links with limited bandwidth.
 const MESSAGE_BYTES: f64 = 300.0;
 /// One-way delays until the first request on a new connection arrives, its own included.
