--- a/tests/contract.rs
+++ b/tests/contract.rs
@@ -181,7 +181,7 @@
 }
 
 /// Guards against selecting requests with low hints for the slow-start budget: hints are rough, so their
-/// actual work is far more than the budget counts (incident i911ba9).
+/// actual work is far more than the budget counts.
 #[test]
 fn low_cost_hints_do_not_raise_the_slow_start_budget() {
     let config = Settings {
--- a/tests/many_nodes.rs
+++ b/tests/many_nodes.rs
@@ -292,7 +292,7 @@
 }
 
 /// Guards against a slow-start budget that shrinks under overload because little is served, so that new
-/// backends cannot relieve it (incident i58b577).
+/// backends cannot relieve it.
 #[test]
 fn an_overload_does_not_reduce_the_slow_start_budget_of_new_backends() {
     let config = Settings { node_count: 3, ..settings(Idempotency::Idempotent) };
--- a/tests/regressions.rs
+++ b/tests/regressions.rs
@@ -8,8 +8,7 @@
     (0..count).map(|backend| member(backend, 0)).collect()
 }
 
-/// Guards against a backend that rejects within a millisecond attracting nearly all requests (incident
-/// idbb93b).
+/// Guards against a backend that rejects within a millisecond attracting nearly all requests.
 #[test]
 fn a_backend_that_rejects_at_once_does_not_look_idle() {
     let mut node = Node::new(settings(Idempotency::Idempotent), fleet(3));
@@ -53,8 +52,7 @@
     assert!(run(&mut node, 200, false) > 20, "never readmitted");
 }
 
-/// Guards against every node sending a request to a slow backend because it has none in flight there
-/// (incident idbb93b).
+/// Guards against every node sending a request to a slow backend because it has none in flight there.
 #[test]
 fn a_slow_backend_without_requests_of_this_node_is_not_treated_as_idle() {
     let mut node = Node::new(settings(Idempotency::Idempotent), fleet(2));
@@ -71,7 +69,7 @@
 }
 
 /// Guards against a class of high value with a short latency target finding all capacity taken by other
-/// classes (incident if301ed).
+/// classes.
 #[test]
 fn the_class_of_higher_value_has_precedence() {
     let mut config = settings(Idempotency::Idempotent);
@@ -161,8 +159,7 @@
     assert!(sent_late > 50, "only {sent_late} of 99 requests were sent");
 }
 
-/// Guards against each of several nodes in a zone filling the backends as if it were alone (incident
-/// if301ed).
+/// Guards against each of several nodes in a zone filling the backends as if it were alone.
 #[test]
 fn nodes_that_share_a_zone_leave_capacity_for_each_other() {
     let admitted = |nodes| {
@@ -175,7 +172,7 @@
     assert!(shared < alone, "{alone} sent by a node alone in its zone, {shared} by one of four");
 }
 
-/// Guards against a permanent timer, which costs more CPU than the requests (incidents idbcff6 and i9be87d).
+/// Guards against a permanent timer, which costs more CPU than the requests.
 #[test]
 fn a_node_without_queued_requests_sets_no_timer() {
     let mut node = Node::new(settings(Idempotency::Idempotent), fleet(2));
@@ -203,7 +200,7 @@
 }
 
 /// Guards against taking the constant part of a response time for queueing: idle backends then look slow
-/// beside loaded ones, and requests are rejected while backends are idle (ticket5979).
+/// beside loaded ones, and requests are rejected while backends are idle.
 #[test]
 fn an_idle_backend_does_not_look_slow_beside_a_loaded_one() {
     let mut config = settings(Idempotency::Idempotent);
