--- a/registry/src/list.rs
+++ b/registry/src/list.rs
@@ -166,7 +166,7 @@
 
 /// The full list, or the changes since a revision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ListUpdate {
+pub struct WatchUpdate {
     /// The revision of the list after the update.
     pub rev: Rev,
     /// Whether this is the full list: instances that are missing have left.
@@ -247,7 +247,7 @@
 
     /// Returns the update for a watcher at revision `from`, or `None` if that is the current one. The update is the
     /// full list if `from` is unknown to this list or older than the history.
-    pub fn changes_since(&self, from: Rev) -> Option<ListUpdate> {
+    pub fn changes_since(&self, from: Rev) -> Option<WatchUpdate> {
         if from == self.rev {
             return None;
         }
@@ -259,17 +259,17 @@
         for line in self.history.iter().rev().take_while(|line| line.rev > from) {
             last.entry(&line.instance.uid).or_insert(line);
         }
-        Some(ListUpdate { rev: self.rev, all: false, lines: last.into_values().cloned().collect() })
+        Some(WatchUpdate { rev: self.rev, all: false, lines: last.into_values().cloned().collect() })
     }
 
     /// Returns the empty update for a watcher at the current revision.
-    pub fn no_changes(&self) -> ListUpdate {
-        ListUpdate { rev: self.rev, all: false, lines: Vec::new() }
+    pub fn no_changes(&self) -> WatchUpdate {
+        WatchUpdate { rev: self.rev, all: false, lines: Vec::new() }
     }
 
     /// Returns the full list.
-    pub fn full(&self) -> ListUpdate {
-        ListUpdate { rev: self.rev, all: true, lines: self.lines.values().cloned().collect() }
+    pub fn full(&self) -> WatchUpdate {
+        WatchUpdate { rev: self.rev, all: true, lines: self.lines.values().cloned().collect() }
     }
 
     /// Returns the list as a new incarnation, whose revision is greater than `seen`, the newest that any client is
--- a/registry/src/wire.rs
+++ b/registry/src/wire.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::list::{Instance, Line, ListUpdate, State};
+use crate::list::{Instance, Line, State, WatchUpdate};
 
 /// An instance on the list, and the body of a registration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -88,7 +88,7 @@
 
 impl Listing {
     /// Creates the message for an update.
-    pub fn new(update: &ListUpdate, incarnation: u64) -> Self {
+    pub fn new(update: &WatchUpdate, incarnation: u64) -> Self {
         let targets = update.lines.iter().map(Target::from).collect();
         Self { rev: update.rev, all: update.all, targets, incarnation }
     }
